--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -47,7 +47,7 @@
 }
 
 milliseconds fleet_model::gap(double per_day) {
-    const double wait = -std::log(1 - m_random.unit()) / per_day * static_cast<double>(day.count());
+    const double wait = -std::log(1 - m_random.next_double()) / per_day * static_cast<double>(day.count());
     return milliseconds(std::max<std::int64_t>(1, static_cast<std::int64_t>(wait)));
 }
 
@@ -175,7 +175,7 @@
 }
 
 void fleet_model::happen(const event& item) {
-    const auto any_vm = [this] { return m_fleet.vms[m_random.below(m_fleet.vms.size())]; };
+    const auto any_vm = [this] { return m_fleet.vms[m_random.next_below(m_fleet.vms.size())]; };
     const double scale = static_cast<double>(m_shape.vms) / 870;
     switch (item.kind) {
     case event_kind::vm_fails:
--- a/bench/fleet_model_jobs.cpp
+++ b/bench/fleet_model_jobs.cpp
@@ -34,7 +34,7 @@
     }
     const double running = static_cast<double>(m_config.pools[pool].promised) * jobs_per_vm * busy_share;
     schedule(gap(running / mean_ms * static_cast<double>(day.count())), event_kind::job_arrives, pool);
-    double draw = m_random.unit();
+    double draw = m_random.next_double();
     for (const job_mix& mix : job_mixes) {
         draw -= mix.share;
         if (draw >= 0 && &mix != &job_mixes.back()) {
@@ -47,7 +47,7 @@
         job.urgency = mix.urgency;
         job.size = {job_cpu, 1'000, 0};
         // Run times are far from what was declared: between a half and one and a half of it.
-        const double factor = 0.5 + m_random.unit();
+        const double factor = 0.5 + m_random.next_double();
         job_truth truth;
         truth.left =
             milliseconds(static_cast<std::int64_t>(static_cast<double>(mix.length.count()) * factor));
--- a/control/claim_task.cpp
+++ b/control/claim_task.cpp
@@ -191,7 +191,7 @@
 
 void claim_task::write(std::size_t index, const claim_log& next) {
     shard& item = m_shards[index];
-    m_metrics.count("claim_writes");
+    m_metrics.increment("claim_writes");
     item.next_write = event_loop::now() + write_interval;
     m_platform.put(open_key(index), item.log.version(), encode_claim_log(next), milliseconds{0},
                    [this, index, next](const store_answer& answer) { written(index, next, answer); });
--- a/control/planner_task.cpp
+++ b/control/planner_task.cpp
@@ -274,7 +274,7 @@
                                            {"vm", decision.vm.empty() ? "-" : decision.vm},
                                            {"decision", decision.text}});
     }
-    m_metrics.count("placement_decisions", plan.decisions.size());
+    m_metrics.increment("placement_decisions", plan.decisions.size());
     m_placing.insert(pool);
     const std::string name = std::string(jobs_prefix) + pool;
     const std::string bytes = encode_jobs(plan.next);
--- a/control/runner_task.cpp
+++ b/control/runner_task.cpp
@@ -80,7 +80,7 @@
     if (!m_calling.insert(vm.id).second) {
         return;
     }
-    m_metrics.count("task_syncs");
+    m_metrics.increment("task_syncs");
     m_workers.sync(
         {vm.address, vm.agent_port}, calls, task_lease,
         [this, id = vm.id, pool](exchange_status status, const worker_answer& answer) {
--- a/control/state_task.cpp
+++ b/control/state_task.cpp
@@ -62,7 +62,7 @@
     keep_watches();
     // Jitter keeps the entries' beats from falling into step.
     const auto interval = static_cast<std::uint64_t>(m_settings.heartbeat_interval.count());
-    m_ticker->start(milliseconds(interval * 9 / 10 + m_random.below(interval / 5 + 1)));
+    m_ticker->start(milliseconds(interval * 9 / 10 + m_random.next_below(interval / 5 + 1)));
 }
 
 heartbeat state_task::own_heartbeat() {
@@ -209,7 +209,7 @@
     const milliseconds bound = std::min(longest_backoff, first_backoff * (1 << std::min(state.failures, 5)));
     const bool quick = answer.status == store_status::ok || answer.status == store_status::unchanged;
     const milliseconds delay =
-        quick ? 1ms : milliseconds(1 + m_random.below(static_cast<std::uint64_t>(bound.count())));
+        quick ? 1ms : milliseconds(1 + m_random.next_below(static_cast<std::uint64_t>(bound.count())));
     state.again = m_loop.make_timer([this, name] {
         // Another entry of the zone may have taken over the watch meanwhile.
         if (watches_store(fleet(), m_settings.id, silent())) {
@@ -244,7 +244,7 @@
                 done(false);
                 return;
             }
-            pull_from(peers[m_random.below(peers.size())], done);
+            pull_from(peers[m_random.next_below(peers.size())], done);
         });
     });
 }
--- a/core/bounded_archive.hpp
+++ b/core/bounded_archive.hpp
@@ -31,7 +31,7 @@
         : cereal::InputArchive<bounded_input_archive, cereal::AllowEmptyClassElision>(this), m_bytes(bytes) {}
 
     /// Copies `size` bytes out. Throws cereal::Exception at the end of the input.
-    void take(void* out, std::size_t size) {
+    void read_bytes(void* out, std::size_t size) {
         if (size > m_bytes.size()) {
             throw cereal::Exception("input ends early");
         }
@@ -39,7 +39,7 @@
         m_bytes.remove_prefix(size);
     }
 
-    [[nodiscard]] std::size_t left() const noexcept { return m_bytes.size(); }
+    [[nodiscard]] std::size_t remaining_bytes() const noexcept { return m_bytes.size(); }
 
   private:
     std::string_view m_bytes;
@@ -52,7 +52,9 @@
     explicit bounded_output_archive(std::string& out)
         : cereal::OutputArchive<bounded_output_archive, cereal::AllowEmptyClassElision>(this), m_out(out) {}
 
-    void put(const void* data, std::size_t size) { m_out.append(static_cast<const char*>(data), size); }
+    void write_bytes(const void* data, std::size_t size) {
+        m_out.append(static_cast<const char*>(data), size);
+    }
 
   private:
     std::string& m_out;
@@ -61,7 +63,7 @@
 template <typename T>
 requires std::is_arithmetic_v<T>
 void CEREAL_SAVE_FUNCTION_NAME(bounded_output_archive& archive, const T& value) {
-    archive.put(&value, sizeof(value));
+    archive.write_bytes(&value, sizeof(value));
 }
 
 template <typename T>
@@ -69,10 +71,10 @@
 void CEREAL_LOAD_FUNCTION_NAME(bounded_input_archive& archive, T& value) {
     if constexpr (std::is_same_v<T, bool>) {
         std::uint8_t byte = 0;
-        archive.take(&byte, 1);
+        archive.read_bytes(&byte, 1);
         value = byte != 0;
     } else {
-        archive.take(&value, sizeof(value));
+        archive.read_bytes(&value, sizeof(value));
     }
 }
 
@@ -95,7 +97,7 @@
 void CEREAL_SERIALIZE_FUNCTION_NAME(bounded_input_archive& archive, cereal::SizeTag<T>& tag) {
     std::uint64_t size = 0;
     archive(size);
-    if (size > archive.left()) {
+    if (size > archive.remaining_bytes()) {
         throw cereal::Exception("a size exceeds the input");
     }
     tag.size = static_cast<cereal::size_type>(size);
@@ -103,12 +105,13 @@
 
 template <typename T>
 void CEREAL_SAVE_FUNCTION_NAME(bounded_output_archive& archive, const cereal::BinaryData<T>& data) {
-    archive.put(data.data, static_cast<std::size_t>(data.size));
+    archive.write_bytes(data.data, static_cast<std::size_t>(data.size));
 }
 
 template <typename T>
 void CEREAL_LOAD_FUNCTION_NAME(bounded_input_archive& archive, cereal::BinaryData<T>& data) {
-    archive.take(const_cast<void*>(static_cast<const void*>(data.data)), static_cast<std::size_t>(data.size));
+    archive.read_bytes(const_cast<void*>(static_cast<const void*>(data.data)),
+                       static_cast<std::size_t>(data.size));
 }
 
 /// Binary form of `value`.
@@ -131,7 +134,7 @@
         T value;
         bounded_input_archive archive(bytes);
         archive(value);
-        if (archive.left() != 0) {
+        if (archive.remaining_bytes() != 0) {
             return boost::leaf::new_error(decode_error{"input has trailing bytes"});
         }
         return value;
--- a/core/findings.hpp
+++ b/core/findings.hpp
@@ -7,7 +7,7 @@
 
 /// One thing wrong with an input, with the place a person has to look at.
 struct finding {
-    std::string place; ///< File and JSON path, e.g. "entry.json:/platform/port".
+    std::string location; ///< File and JSON path, e.g. "entry.json:/platform/port".
     std::string message;
 
     bool operator==(const finding&) const = default;
@@ -17,7 +17,7 @@
 class findings {
   public:
     /// Records a finding. `place` may be empty when the whole input is meant.
-    void add(std::string place, std::string message);
+    void add(std::string location, std::string message);
 
     /// Takes over all findings of `other`, each place prefixed with `prefix`.
     void append(const findings& other, const std::string& prefix = {});
--- a/core/json_object.cpp
+++ b/core/json_object.cpp
@@ -11,19 +11,19 @@
 constexpr std::size_t max_json_depth = 16;
 
 std::string position_of(std::string_view text, std::size_t offset) {
-    const auto read = text.substr(0, std::min(offset, text.size()));
-    const auto line = 1 + std::count(read.begin(), read.end(), '\n');
-    const auto newline = read.rfind('\n');
-    const auto column = newline == std::string_view::npos ? read.size() + 1 : read.size() - newline;
+    const auto preceding = text.substr(0, std::min(offset, text.size()));
+    const auto line = 1 + std::count(preceding.begin(), preceding.end(), '\n');
+    const auto newline = preceding.rfind('\n');
+    const auto column = newline == std::string_view::npos ? preceding.size() + 1 : preceding.size() - newline;
     return "line " + std::to_string(line) + ", column " + std::to_string(column);
 }
 
 } // namespace
 
 json_object::json_object(const boost::json::value& value, std::string path, findings& out)
-    : m_object(value.if_object()), m_path(std::move(path)), m_out(out) {
+    : m_object(value.if_object()), m_path(std::move(path)), m_findings(out) {
     if (m_object == nullptr) {
-        m_out.add(m_path, "must be an object");
+        m_findings.add(m_path, "must be an object");
     }
 }
 
@@ -32,7 +32,7 @@
 }
 
 const boost::json::value* json_object::find(std::string_view key) {
-    m_known.emplace(key);
+    m_known_keys.emplace(key);
     return m_object == nullptr ? nullptr : m_object->if_contains(key);
 }
 
@@ -42,7 +42,7 @@
 
 std::string json_object::text(std::string_view key) {
     if (find(key) == nullptr) {
-        m_out.add(path_of(key), "is missing; a string is required");
+        m_findings.add(path_of(key), "is missing; a string is required");
         return {};
     }
     return text_or(key, {});
@@ -54,7 +54,7 @@
         return fallback;
     }
     if (!value->is_string()) {
-        m_out.add(path_of(key), "must be a string");
+        m_findings.add(path_of(key), "must be a string");
         return fallback;
     }
     return std::string(value->get_string());
@@ -62,7 +62,7 @@
 
 std::int64_t json_object::number(std::string_view key, number_bounds bounds) {
     if (find(key) == nullptr) {
-        m_out.add(path_of(key), "is missing; a whole number is required");
+        m_findings.add(path_of(key), "is missing; a whole number is required");
         return bounds.low;
     }
     return number_or(key, bounds.low, bounds);
@@ -74,13 +74,13 @@
         return fallback;
     }
     if (!value->is_int64()) {
-        m_out.add(path_of(key), "must be a whole number");
+        m_findings.add(path_of(key), "must be a whole number");
         return fallback;
     }
     if (value->get_int64() < bounds.low || value->get_int64() > bounds.high) {
-        m_out.add(path_of(key), "must be from " + std::to_string(bounds.low) + " to " +
-                                    std::to_string(bounds.high) + ", not " +
-                                    std::to_string(value->get_int64()));
+        m_findings.add(path_of(key), "must be from " + std::to_string(bounds.low) + " to " +
+                                         std::to_string(bounds.high) + ", not " +
+                                         std::to_string(value->get_int64()));
         return fallback;
     }
     return value->get_int64();
@@ -92,13 +92,13 @@
         return fallback;
     }
     if (!value->is_bool()) {
-        m_out.add(path_of(key), "must be true or false");
+        m_findings.add(path_of(key), "must be true or false");
         return fallback;
     }
     return value->get_bool();
 }
 
-void json_object::each(
+void json_object::for_each_member(
     std::string_view key,
     const std::function<void(const std::string&, const boost::json::value&, const std::string&)>& visit) {
     const boost::json::value* value = find(key);
@@ -106,7 +106,7 @@
         return;
     }
     if (!value->is_object()) {
-        m_out.add(path_of(key), "must be an object");
+        m_findings.add(path_of(key), "must be an object");
         return;
     }
     for (const auto& member : value->get_object()) {
@@ -120,9 +120,10 @@
         return;
     }
     for (const auto& member : *m_object) {
-        if (m_known.find(std::string_view(member.key().data(), member.key().size())) == m_known.end()) {
-            m_out.add(path_of(std::string_view(member.key().data(), member.key().size())),
-                      "is not a known key");
+        if (m_known_keys.find(std::string_view(member.key().data(), member.key().size())) ==
+            m_known_keys.end()) {
+            m_findings.add(path_of(std::string_view(member.key().data(), member.key().size())),
+                           "is not a known key");
         }
     }
 }
@@ -141,20 +142,21 @@
     return escaped;
 }
 
-boost::json::value parse_json(std::string_view text, const std::string& place, findings& out) {
+boost::json::value parse_json(std::string_view text, const std::string& location, findings& out) {
     boost::json::parse_options options;
     options.max_depth = max_json_depth;
     boost::json::stream_parser parser({}, options);
     boost::json::error_code error;
-    std::size_t read = parser.write_some(text.data(), text.size(), error);
+    std::size_t parsed_bytes = parser.write_some(text.data(), text.size(), error);
     if (!error) {
         parser.finish(error);
     }
-    if (!error && read < text.size() && text.find_first_not_of(" \t\r\n", read) != std::string_view::npos) {
+    if (!error && parsed_bytes < text.size() &&
+        text.find_first_not_of(" \t\r\n", parsed_bytes) != std::string_view::npos) {
         error = boost::json::error::extra_data;
     }
     if (error) {
-        out.add(place, "is not valid JSON at " + position_of(text, read) + ": " + error.message());
+        out.add(location, "is not valid JSON at " + position_of(text, parsed_bytes) + ": " + error.message());
         return nullptr;
     }
     return parser.release();
--- a/core/json_object.hpp
+++ b/core/json_object.hpp
@@ -32,9 +32,9 @@
     [[nodiscard]] bool flag_or(std::string_view key, bool fallback);
 
     /// Calls `visit(name, value, path)` for each member of the object at `key`. A missing key visits nothing.
-    void
-    each(std::string_view key,
-         const std::function<void(const std::string&, const boost::json::value&, const std::string&)>& visit);
+    void for_each_member(
+        std::string_view key,
+        const std::function<void(const std::string&, const boost::json::value&, const std::string&)>& visit);
 
     /// The value at `key`, or null when the key is missing; the caller checks it.
     [[nodiscard]] const boost::json::value* child(std::string_view key);
@@ -50,8 +50,8 @@
 
     const boost::json::object* m_object = nullptr;
     std::string m_path;
-    findings& m_out;
-    std::set<std::string, std::less<>> m_known;
+    findings& m_findings;
+    std::set<std::string, std::less<>> m_known_keys;
 };
 
 /// Escapes `key` as one reference token of a JSON pointer (RFC 6901).
@@ -59,7 +59,8 @@
 
 /// Parses `text`, adding a finding with line and column on a syntax error. Nesting is bounded, so hostile
 /// input can't exhaust the stack.
-[[nodiscard]] boost::json::value parse_json(std::string_view text, const std::string& place, findings& out);
+[[nodiscard]] boost::json::value parse_json(std::string_view text, const std::string& location,
+                                            findings& out);
 
 /// Reads and parses a file; a finding names what is wrong with it.
 [[nodiscard]] boost::json::value parse_json_file(const std::string& path, findings& out);
--- a/core/random.hpp
+++ b/core/random.hpp
@@ -19,10 +19,10 @@
     }
 
     /// Uniform in [0, bound). Precondition: bound > 0.
-    std::uint64_t below(std::uint64_t bound) noexcept { return next() % bound; }
+    std::uint64_t next_below(std::uint64_t bound) noexcept { return next() % bound; }
 
     /// Uniform in [0, 1).
-    double unit() noexcept { return static_cast<double>(next() >> 11U) * 0x1.0p-53; }
+    double next_double() noexcept { return static_cast<double>(next() >> 11U) * 0x1.0p-53; }
 
   private:
     std::uint64_t m_state;
--- a/core/settings_file.hpp
+++ b/core/settings_file.hpp
@@ -8,7 +8,7 @@
 namespace siskinpaddle {
 
 /// Exit codes of the server programs.
-enum exit_code : int { exit_good = 0, exit_failed = 1, exit_bad_settings = 2 };
+enum exit_code : int { exit_success = 0, exit_failure = 1, exit_invalid_settings = 2 };
 
 /// Reads a program's settings with `parse(value, findings)`. Writes every finding with the file's name and
 /// its place to `errors`; then there are no settings.
@@ -23,9 +23,9 @@
             return settings;
         }
     }
-    findings placed;
-    placed.append(problems, path + ":");
-    errors << placed.to_string();
+    findings problems_in_file;
+    problems_in_file.append(problems, path + ":");
+    errors << problems_in_file.to_string();
     return std::nullopt;
 }
 
--- a/demo/caller_fleet.cpp
+++ b/demo/caller_fleet.cpp
@@ -72,7 +72,7 @@
         return;
     }
     http_call call;
-    call.to = std::next(m_configs.begin(), static_cast<long>(m_random.below(m_configs.size())))->first;
+    call.to = std::next(m_configs.begin(), static_cast<long>(m_random.next_below(m_configs.size())))->first;
     call.method = path.method;
     call.target = path.target;
     call.headers.add("Caller-Request", id);
--- a/gateway/caller_gateway.cpp
+++ b/gateway/caller_gateway.cpp
@@ -130,7 +130,7 @@
         answer_health(*from);
         return;
     }
-    m_metrics.count("requests");
+    m_metrics.increment("requests");
     if (answer_unready(*from)) {
         return;
     }
@@ -257,7 +257,7 @@
     }
     ++request.attempts;
     request.sent_at = now;
-    m_metrics.count("sends");
+    m_metrics.increment("sends");
     log_event(event_id::request_sent, {{"request", request.id},
                                        {"pool", request.pool},
                                        {"vm", request.target->vm},
@@ -299,7 +299,7 @@
 
 void caller_gateway::retry(caller_request& request, attempt_result result) {
     request.tried.insert(request.target->vm);
-    m_metrics.count("retries");
+    m_metrics.increment("retries");
     log_event(event_id::request_retried,
               {{"request", request.id}, {"vm", request.target->vm}, {"because", name_of(result)}});
     dispatch(request.id);
@@ -309,13 +309,13 @@
     http_headers headers;
     const bool head = request.from->method() == "HEAD";
     for (const auto& [name, value] : answer.headers.fields()) {
-        const bool recomputed = equal_without_case(name, "Content-Length") && !head;
+        const bool recomputed = equals_ignoring_case(name, "Content-Length") && !head;
         if (!is_hop_by_hop(name) && !recomputed) {
             headers.add(name, value);
         }
     }
     const timestamp now = event_loop::now();
-    m_metrics.count("answered");
+    m_metrics.increment("answered");
     m_metrics.observe("answer", static_cast<double>((now - request.arrived).count()));
     log_event(event_id::request_answered, {{"request", request.id},
                                            {"vm", request.target->vm},
@@ -350,7 +350,7 @@
     const std::string pool = found->second.pool;
     m_admission.finished(pool, found->second.member, service_time);
     m_requests.erase(found);
-    m_loop.post([this, alive = m_lifetime.watch(), pool] {
+    m_loop.post([this, alive = m_lifetime.weak_token(), pool] {
         if (!alive.expired()) {
             pump(pool);
         }
@@ -366,7 +366,7 @@
     if (rule.result == outcome::not_run && seconds > 0) {
         headers.add("Retry-After", std::to_string(seconds));
     }
-    m_metrics.count(std::string("own_answers_") + std::string(name_of(rule.result)));
+    m_metrics.increment(std::string("own_answers_") + std::string(name_of(rule.result)));
     log_event(rule.result == outcome::not_run ? event_id::request_refused : event_id::request_given_up,
               {{"request", id}, {"code", rule.name}, {"target", from.target()}});
     boost::json::object body{{"outcome", name_of(rule.result)}, {"code", rule.name}, {"request", id}};
@@ -374,7 +374,7 @@
         boost::json::array problems;
         const findings found = check_request(from);
         for (const finding& item : found.items()) {
-            problems.push_back({{"place", item.place}, {"message", item.message}});
+            problems.push_back({{"place", item.location}, {"message", item.message}});
         }
         body["findings"] = std::move(problems);
     }
--- a/gateway/caller_gateway.hpp
+++ b/gateway/caller_gateway.hpp
@@ -22,7 +22,7 @@
 
     /// Takes no new requests; those in progress go on.
     void drain();
-    [[nodiscard]] bool idle() const { return m_requests.empty() && m_server.in_progress() == 0; }
+    [[nodiscard]] bool idle() const { return m_requests.empty() && m_server.requests_in_progress() == 0; }
     [[nodiscard]] bool ready() const;
 
     void on_health(const std::string& vm, bool good);
--- a/gateway/caller_request.cpp
+++ b/gateway/caller_request.cpp
@@ -33,7 +33,7 @@
                                                            "Transfer-Encoding",
                                                            "Upgrade"};
     return std::any_of(names.begin(), names.end(),
-                       [name](std::string_view known) { return equal_without_case(known, name); });
+                       [name](std::string_view known) { return equals_ignoring_case(known, name); });
 }
 
 findings check_request(const server_request& request) {
@@ -69,9 +69,9 @@
     call.fresh_connection = !request.repeatable;
     call.body = request.from->body();
     for (const auto& [name, value] : request.from->headers().fields()) {
-        const bool replaced = equal_without_case(name, deadline_header) ||
-                              equal_without_case(name, request_id_header) ||
-                              equal_without_case(name, "Content-Length");
+        const bool replaced = equals_ignoring_case(name, deadline_header) ||
+                              equals_ignoring_case(name, request_id_header) ||
+                              equals_ignoring_case(name, "Content-Length");
         if (!is_hop_by_hop(name) && !replaced) {
             call.headers.add(name, value);
         }
--- a/gateway/operator_reports.cpp
+++ b/gateway/operator_reports.cpp
@@ -5,7 +5,7 @@
 boost::json::array findings_json(const findings& problems) {
     boost::json::array items;
     for (const finding& item : problems.items()) {
-        items.push_back({{"place", item.place}, {"message", item.message}});
+        items.push_back({{"place", item.location}, {"message", item.message}});
     }
     return items;
 }
--- a/jobs/job_state.hpp
+++ b/jobs/job_state.hpp
@@ -76,7 +76,7 @@
     template <typename Archive>
     void load(Archive& archive) {
         archive(phase, done, failed_attempts, checkpoints);
-        if (archive.left() > 0) {
+        if (archive.remaining_bytes() > 0) {
             archive(crashes);
         }
     }
--- a/main/siskinpaddled.cpp
+++ b/main/siskinpaddled.cpp
@@ -14,14 +14,14 @@
     entry process(loop, settings);
     if (const findings problems = process.listen(); !problems.empty()) {
         std::cerr << problems.to_string();
-        return exit_failed;
+        return exit_failure;
     }
     const auto drain = [&] { process.drain([&loop] { loop.stop(); }); };
     loop.on_signal(SIGTERM, drain);
     loop.on_signal(SIGINT, drain);
     process.start();
     loop.run();
-    return exit_good;
+    return exit_success;
 }
 
 } // namespace
@@ -37,15 +37,15 @@
         line.parse(argc, argv);
         const auto settings = load_settings(config.getValue(), parse_entry_settings, std::cerr);
         if (!settings) {
-            return exit_bad_settings;
+            return exit_invalid_settings;
         }
         if (check.getValue()) {
             std::cout << config.getValue() << ": good\n";
-            return exit_good;
+            return exit_success;
         }
         return run(*settings);
     } catch (const std::exception& error) {
         std::cerr << "siskinpaddled: " << error.what() << "\n";
-        return exit_failed;
+        return exit_failure;
     }
 }
--- a/net/event_loop.cpp
+++ b/net/event_loop.cpp
@@ -18,8 +18,8 @@
 }
 
 void timer::start(milliseconds delay) {
-    const timeval when{delay.count() / 1000, (delay.count() % 1000) * 1000};
-    event_add(m_event, &when);
+    const timeval interval{delay.count() / 1000, (delay.count() % 1000) * 1000};
+    event_add(m_event, &interval);
 }
 
 void timer::cancel() {
@@ -78,11 +78,11 @@
     return std::make_unique<timer>(m_base, std::move(action));
 }
 
-void event_loop::on_signal(int number, std::function<void()> action) {
+void event_loop::on_signal(int signal_number, std::function<void()> action) {
     auto handler = std::make_unique<signal_handler>();
     handler->action = std::move(action);
     handler->handle = evsignal_new(
-        m_base, number,
+        m_base, signal_number,
         [](evutil_socket_t, short, void* self) { static_cast<signal_handler*>(self)->action(); },
         handler.get());
     event_add(handler->handle, nullptr);
--- a/net/event_loop.hpp
+++ b/net/event_loop.hpp
@@ -48,7 +48,7 @@
     [[nodiscard]] std::unique_ptr<timer> make_timer(std::function<void()> action);
 
     /// Calls `action` for each arrival of the signal.
-    void on_signal(int number, std::function<void()> action);
+    void on_signal(int signal_number, std::function<void()> action);
 
     /// Monotonic time that also advances while the machine or this process is suspended.
     [[nodiscard]] static timestamp now();
--- a/net/http_client.cpp
+++ b/net/http_client.cpp
@@ -1,6 +1,6 @@
 #include "net/http_client.hpp"
 
-#include "net/read_on.hpp"
+#include "net/read_available.hpp"
 
 #include <algorithm>
 #include <array>
@@ -39,24 +39,24 @@
 
 /// Of one request in one turn of the loop. With libevent's 16 KB a transaction of 170 KB does not leave a
 /// busy node (200 ms a turn) within its timeout of 1.5 s, nor when it is repeated.
-constexpr std::size_t most_written = 256UL * 1024;
+constexpr std::size_t max_single_write = 256UL * 1024;
 
 /// Whether the end of the answer is marked by the answer itself. One that ends by the connection's close
 /// looks the same whole or cut, and evhttp reports both as whole, so it can't be taken for whole.
-bool end_is_marked(const http_answer& answer, evhttp_cmd_type command) {
+bool has_explicit_end(const http_answer& answer, evhttp_cmd_type command) {
     const bool has_no_body =
         command == EVHTTP_REQ_HEAD || answer.code == HTTP_NOCONTENT || answer.code == HTTP_NOTMODIFIED;
     return has_no_body || answer.headers.has("Content-Length") ||
-           equal_without_case(answer.headers.get("Transfer-Encoding"), "chunked");
+           equals_ignoring_case(answer.headers.get("Transfer-Encoding"), "chunked");
 }
 
 } // namespace
 
 struct http_client::connection {
     endpoint to;
-    exchange* user = nullptr; ///< The exchange that it serves now.
+    exchange* active_exchange = nullptr; ///< The exchange that it serves now.
     evhttp_connection* handle = nullptr;
-    bool wrote = false; ///< Bytes of the present request were handed to the socket.
+    bool has_written = false; ///< Bytes of the present request were handed to the socket.
     bool resets_on_close = false;
     int socket_error = 0; ///< The error that ended the connecting, if any.
     timestamp idle_since{0};
@@ -81,7 +81,7 @@
         if (!item->resets_on_close && info->n_added > 0) {
             item->reset_on_close();
         }
-        item->wrote = item->wrote || info->n_added > 0;
+        item->has_written = item->has_written || info->n_added > 0;
         item->owner->m_bytes_sent += info->n_added;
     }
 
@@ -102,14 +102,14 @@
 
 class http_client::exchange {
   public:
-    exchange(http_client& owner, std::uint64_t number, http_call call, callback done)
-        : m_owner(owner), m_number(number), m_call(std::move(call)), m_done(std::move(done)),
+    exchange(http_client& owner, std::uint64_t call_id, http_call call, callback done)
+        : m_owner(owner), m_call_id(call_id), m_call(std::move(call)), m_done(std::move(done)),
           m_command(command_for(m_call.method)), m_deadline(owner.m_loop.base(), [this] { on_deadline(); }) {}
 
     void start() {
-        m_connection = m_owner.take_connection(m_call.to, m_call.fresh_connection);
-        m_connection->wrote = false;
-        m_connection->user = this;
+        m_connection = m_owner.acquire_connection(m_call.to, m_call.fresh_connection);
+        m_connection->has_written = false;
+        m_connection->active_exchange = this;
         m_request = evhttp_request_new(on_complete, this);
         evhttp_request_set_error_cb(m_request, on_error);
         evkeyvalq* fields = evhttp_request_get_output_headers(m_request);
@@ -123,24 +123,24 @@
         m_deadline.start(m_call.timeout);
         if (evhttp_make_request(m_connection->handle, m_request, m_command, m_call.target.c_str()) != 0) {
             m_request = nullptr;
-            end({}, false);
+            complete({}, false);
         }
     }
 
-    callback take_callback() { return std::move(m_done); }
-    std::unique_ptr<connection> take_connection() {
-        m_connection->user = nullptr;
+    callback release_callback() { return std::move(m_done); }
+    std::unique_ptr<connection> release_connection() {
+        m_connection->active_exchange = nullptr;
         return std::move(m_connection);
     }
 
     /// A part of the answer has come. Over a narrow link a large answer takes longer than a silent peer may:
     /// given up half read and asked for again, it would never arrive.
-    void received_part() {
-        if (m_ended || m_call.longest <= m_call.timeout) {
+    void extend_deadline() {
+        if (m_completed || m_call.max_duration <= m_call.timeout) {
             return;
         }
-        const milliseconds left = m_began_at + m_call.longest - event_loop::now();
-        m_deadline.start(std::clamp(left, 0ms, m_call.timeout));
+        const milliseconds remaining = m_started_at + m_call.max_duration - event_loop::now();
+        m_deadline.start(std::clamp(remaining, 0ms, m_call.timeout));
     }
 
   private:
@@ -154,25 +154,25 @@
         auto* item = static_cast<exchange*>(self);
         const int socket_error = EVUTIL_SOCKET_ERROR();
         item->m_request = nullptr;
-        if (item->m_ended) {
+        if (item->m_completed) {
             return;
         }
         http_answer answer;
         if (request == nullptr || evhttp_request_get_response_code(request) == 0 || item->m_failed) {
-            answer.status = item->failure();
+            answer.status = item->failure_status();
             answer.refused = answer.status == exchange_status::connect_failed && socket_error == ECONNREFUSED;
-            item->end(std::move(answer), false);
+            item->complete(std::move(answer), false);
             return;
         }
-        item->read(request, answer);
-        answer.status =
-            end_is_marked(answer, item->m_command) ? exchange_status::answered : exchange_status::incomplete;
-        const bool keep = answer.status == exchange_status::answered &&
-                          !equal_without_case(answer.headers.get("Connection"), "close");
-        item->end(std::move(answer), keep);
+        item->read_answer(request, answer);
+        answer.status = has_explicit_end(answer, item->m_command) ? exchange_status::answered
+                                                                  : exchange_status::incomplete;
+        const bool is_reusable = answer.status == exchange_status::answered &&
+                                 !equals_ignoring_case(answer.headers.get("Connection"), "close");
+        item->complete(std::move(answer), is_reusable);
     }
 
-    void read(evhttp_request* request, http_answer& answer) const {
+    void read_answer(evhttp_request* request, http_answer& answer) const {
         answer.code = evhttp_request_get_response_code(request);
         for (const evkeyval* field = evhttp_request_get_input_headers(request)->tqh_first; field != nullptr;
              field = field->next.tqe_next) {
@@ -184,8 +184,8 @@
         m_owner.m_bytes_received += answer.body.size();
     }
 
-    [[nodiscard]] exchange_status failure() const {
-        if (!m_connection->wrote) {
+    [[nodiscard]] exchange_status failure_status() const {
+        if (!m_connection->has_written) {
             return exchange_status::connect_failed;
         }
         if (m_failed && m_error == EVREQ_HTTP_DATA_TOO_LONG) {
@@ -199,21 +199,22 @@
 
     void on_deadline() {
         http_answer answer;
-        answer.status = m_connection->wrote ? exchange_status::timed_out : exchange_status::connect_failed;
-        end(std::move(answer), false);
+        answer.status =
+            m_connection->has_written ? exchange_status::timed_out : exchange_status::connect_failed;
+        complete(std::move(answer), false);
     }
 
-    void end(http_answer answer, bool reusable) {
-        if (m_ended) {
+    void complete(http_answer answer, bool reusable) {
+        if (m_completed) {
             return;
         }
-        m_ended = true;
+        m_completed = true;
         m_deadline.cancel();
-        m_owner.finish(m_number, std::move(answer), reusable);
+        m_owner.finish(m_call_id, std::move(answer), reusable);
     }
 
     http_client& m_owner;
-    std::uint64_t m_number;
+    std::uint64_t m_call_id;
     http_call m_call;
     callback m_done;
     evhttp_cmd_type m_command;
@@ -222,41 +223,41 @@
     evhttp_request* m_request = nullptr;
     evhttp_request_error m_error = EVREQ_HTTP_EOF;
     bool m_failed = false;
-    bool m_ended = false;
-    timestamp m_began_at = event_loop::now();
+    bool m_completed = false;
+    timestamp m_started_at = event_loop::now();
 };
 
 void http_client::connection::on_input(evbuffer* input, const evbuffer_cb_info* info, void* self) {
     const auto* item = static_cast<connection*>(self);
-    if (info->n_added > 0 && item->user != nullptr) {
-        item->user->received_part();
+    if (info->n_added > 0 && item->active_exchange != nullptr) {
+        item->active_exchange->extend_deadline();
     }
-    read_on(input, bufferevent_getfd(evhttp_connection_get_bufferevent(item->handle)), info->n_added);
+    read_available(input, bufferevent_getfd(evhttp_connection_get_bufferevent(item->handle)), info->n_added);
 }
 
 http_client::http_client(event_loop& loop, http_client_limits limits) : m_loop(loop), m_limits(limits) {
-    m_idle_timer = loop.make_timer([this] { drop_idle(); });
+    m_idle_timer = loop.make_timer([this] { close_idle_connections(); });
     m_idle_timer->start(m_limits.max_idle_time);
 }
 
 http_client::~http_client() = default;
 
 std::uint64_t http_client::send(http_call call, callback done) {
-    const std::uint64_t number = m_next_number++;
-    auto item = std::make_unique<exchange>(*this, number, std::move(call), std::move(done));
+    const std::uint64_t call_id = m_next_call_id++;
+    auto item = std::make_unique<exchange>(*this, call_id, std::move(call), std::move(done));
     exchange* started = item.get();
-    m_exchanges.emplace(number, std::move(item));
+    m_exchanges.emplace(call_id, std::move(item));
     started->start();
-    return number;
+    return call_id;
 }
 
-void http_client::cancel(std::uint64_t number) {
+void http_client::cancel(std::uint64_t call_id) {
     // Freeing the connection drops its request without a callback.
-    m_exchanges.erase(number);
+    m_exchanges.erase(call_id);
 }
 
-std::unique_ptr<http_client::connection> http_client::take_connection(const endpoint& to, bool fresh) {
-    std::vector<std::unique_ptr<connection>>& idle = m_idle[to];
+std::unique_ptr<http_client::connection> http_client::acquire_connection(const endpoint& to, bool fresh) {
+    std::vector<std::unique_ptr<connection>>& idle = m_idle_connections[to];
     if (!fresh && !idle.empty()) {
         auto item = std::move(idle.back());
         idle.pop_back();
@@ -270,53 +271,54 @@
     evhttp_connection_set_max_headers_size(item->handle, static_cast<ev_ssize_t>(m_limits.max_headers));
     evhttp_connection_set_retries(item->handle, 0);
     bufferevent* stream = evhttp_connection_get_bufferevent(item->handle);
-    bufferevent_set_max_single_write(stream, most_written);
+    bufferevent_set_max_single_write(stream, max_single_write);
     evbuffer_add_cb(bufferevent_get_output(stream), connection::on_output, item.get());
     evbuffer_add_cb(bufferevent_get_input(stream), connection::on_input, item.get());
     return item;
 }
 
-void http_client::give_back(std::unique_ptr<connection> item) {
-    std::vector<std::unique_ptr<connection>>& idle = m_idle[item->to];
+void http_client::return_connection(std::unique_ptr<connection> item) {
+    std::vector<std::unique_ptr<connection>>& idle = m_idle_connections[item->to];
     if (idle.size() < m_limits.max_idle_per_endpoint) {
         item->idle_since = event_loop::now();
         idle.push_back(std::move(item));
     }
 }
 
-void http_client::finish(std::uint64_t number, http_answer answer, bool reusable) {
-    const auto found = m_exchanges.find(number);
+void http_client::finish(std::uint64_t call_id, http_answer answer, bool reusable) {
+    const auto found = m_exchanges.find(call_id);
     if (found == m_exchanges.end()) {
         return;
     }
     // evhttp is still inside the connection's callback here, so the connection may only be freed or reused
     // later.
-    m_loop.post([this, alive = m_lifetime.watch(), number, reusable, answer = std::move(answer)]() mutable {
-        if (alive.expired()) {
-            return;
-        }
-        const auto item = m_exchanges.find(number);
-        if (item == m_exchanges.end()) {
-            return;
-        }
-        const auto ended = std::move(item->second);
-        m_exchanges.erase(item);
-        auto used = ended->take_connection();
-        if (reusable) {
-            give_back(std::move(used));
-        }
-        used.reset();
-        ended->take_callback()(std::move(answer));
-    });
+    m_loop.post(
+        [this, alive = m_lifetime.weak_token(), call_id, reusable, answer = std::move(answer)]() mutable {
+            if (alive.expired()) {
+                return;
+            }
+            const auto item = m_exchanges.find(call_id);
+            if (item == m_exchanges.end()) {
+                return;
+            }
+            const auto ended = std::move(item->second);
+            m_exchanges.erase(item);
+            auto used = ended->release_connection();
+            if (reusable) {
+                return_connection(std::move(used));
+            }
+            used.reset();
+            ended->release_callback()(std::move(answer));
+        });
 }
 
-void http_client::drop_idle() {
+void http_client::close_idle_connections() {
     const timestamp now = event_loop::now();
-    for (auto& [to, idle] : m_idle) {
+    for (auto& [to, idle] : m_idle_connections) {
         std::erase_if(idle,
                       [&](const auto& item) { return now - item->idle_since >= m_limits.max_idle_time; });
     }
-    std::erase_if(m_idle, [](const auto& pair) { return pair.second.empty(); });
+    std::erase_if(m_idle_connections, [](const auto& pair) { return pair.second.empty(); });
     m_idle_timer->start(m_limits.max_idle_time);
 }
 
--- a/net/http_client.hpp
+++ b/net/http_client.hpp
@@ -39,7 +39,7 @@
     milliseconds timeout{1000};
     /// An answer that goes on arriving may take this long in all; `timeout` then bounds its pauses. Zero: the
     /// whole exchange ends within `timeout`.
-    milliseconds longest{0};
+    milliseconds max_duration{0};
     /// Use a new connection. A kept one may be closed by the other side just as the request is sent, which
     /// leaves open whether it ran; a request that must not run twice can't be sent again then.
     bool fresh_connection = false;
@@ -77,7 +77,7 @@
     std::uint64_t send(http_call call, callback done);
 
     /// Ends an exchange without calling back. An ended or unknown number is ignored.
-    void cancel(std::uint64_t number);
+    void cancel(std::uint64_t call_id);
 
     [[nodiscard]] std::uint64_t bytes_sent() const noexcept { return m_bytes_sent; }
     [[nodiscard]] std::uint64_t bytes_received() const noexcept { return m_bytes_received; }
@@ -86,16 +86,16 @@
     class exchange;
     struct connection;
 
-    std::unique_ptr<connection> take_connection(const endpoint& to, bool fresh);
-    void give_back(std::unique_ptr<connection> item);
-    void finish(std::uint64_t number, http_answer answer, bool reusable);
-    void drop_idle();
+    std::unique_ptr<connection> acquire_connection(const endpoint& to, bool fresh);
+    void return_connection(std::unique_ptr<connection> item);
+    void finish(std::uint64_t call_id, http_answer answer, bool reusable);
+    void close_idle_connections();
 
     event_loop& m_loop;
     http_client_limits m_limits;
-    std::uint64_t m_next_number = 1;
+    std::uint64_t m_next_call_id = 1;
     std::map<std::uint64_t, std::unique_ptr<exchange>> m_exchanges;
-    std::map<endpoint, std::vector<std::unique_ptr<connection>>> m_idle;
+    std::map<endpoint, std::vector<std::unique_ptr<connection>>> m_idle_connections;
     std::unique_ptr<timer> m_idle_timer;
     std::uint64_t m_bytes_sent = 0;
     std::uint64_t m_bytes_received = 0;
--- a/net/http_server.cpp
+++ b/net/http_server.cpp
@@ -1,6 +1,6 @@
 #include "net/http_server.hpp"
 
-#include "net/read_on.hpp"
+#include "net/read_available.hpp"
 
 #include <arpa/inet.h>
 #include <event2/buffer.h>
@@ -54,46 +54,46 @@
 /// evhttp doesn't tell when it frees a connection that never sent a whole request. A record therefore keeps
 /// the socket's descriptor and inode and never follows its pointers later: a descriptor that was reused shows
 /// another inode.
-class http_server::door {
+class http_server::connection_tracker {
   public:
-    explicit door(http_server& server)
-        : m_server(server), m_sweep(server.m_loop.base(), [this] { sweep(); }) {
-        m_sweep.start(1s);
+    explicit connection_tracker(http_server& server)
+        : m_server(server), m_check_timer(server.m_loop.base(), [this] { close_slow_connections(); }) {
+        m_check_timer.start(1s);
     }
 
     static bufferevent* make_connection(event_base* base, void* self) {
-        auto* item = static_cast<door*>(self);
+        auto* item = static_cast<connection_tracker*>(self);
         bufferevent* socket = bufferevent_socket_new(base, -1, BEV_OPT_CLOSE_ON_FREE);
         evbuffer* input = bufferevent_get_input(socket);
         evbuffer_add_cb(input, on_input, self);
-        item->m_records[input] = {socket, -1, 0, timestamp{0}, event_loop::now()};
-        item->limit_accepting();
+        item->m_connections[input] = {socket, -1, 0, timestamp{0}, event_loop::now()};
+        item->update_accepting();
         return socket;
     }
 
     /// A whole request has arrived: the connection may take its time until it begins the next one.
-    void received(evhttp_connection* connection) {
+    void mark_request_received(evhttp_connection* connection) {
         evbuffer* input = bufferevent_get_input(evhttp_connection_get_bufferevent(connection));
-        m_records[input].receiving_since = timestamp{0};
+        m_connections[input].receiving_since = timestamp{0};
     }
 
-    [[nodiscard]] std::size_t count() const noexcept { return m_records.size(); }
+    [[nodiscard]] std::size_t count() const noexcept { return m_connections.size(); }
 
   private:
-    struct record {
+    struct connection_record {
         bufferevent* socket = nullptr; ///< Only valid inside a callback of its own buffer.
         int descriptor = -1;
         ino_t inode = 0;
         timestamp receiving_since{0};
-        timestamp accepted{0};
+        timestamp accepted_at{0};
     };
 
     static void on_input(evbuffer* buffer, const evbuffer_cb_info* info, void* self) {
-        const auto found = static_cast<door*>(self)->m_records.find(buffer);
-        if (found == static_cast<door*>(self)->m_records.end() || info->n_added == 0) {
+        const auto found = static_cast<connection_tracker*>(self)->m_connections.find(buffer);
+        if (found == static_cast<connection_tracker*>(self)->m_connections.end() || info->n_added == 0) {
             return;
         }
-        record& item = found->second;
+        connection_record& item = found->second;
         if (item.descriptor < 0) {
             item.descriptor = bufferevent_getfd(item.socket);
             item.inode = inode_of(item.descriptor);
@@ -101,7 +101,7 @@
         if (item.receiving_since == timestamp{0}) {
             item.receiving_since = event_loop::now();
         }
-        read_on(buffer, item.descriptor, info->n_added);
+        read_available(buffer, item.descriptor, info->n_added);
     }
 
     static ino_t inode_of(int descriptor) {
@@ -109,32 +109,32 @@
         return fstat(descriptor, &status) == 0 ? status.st_ino : 0;
     }
 
-    void sweep() {
+    void close_slow_connections() {
         const timestamp now = event_loop::now();
-        std::erase_if(m_records, [&](const auto& pair) {
-            const record& item = pair.second;
+        std::erase_if(m_connections, [&](const auto& pair) {
+            const connection_record& item = pair.second;
             const bool ended = item.descriptor >= 0 && inode_of(item.descriptor) != item.inode;
-            const bool never_sent =
-                item.descriptor < 0 && now - item.accepted > 2 * m_server.m_limits.idle_timeout;
-            return ended || never_sent;
+            const bool has_never_sent =
+                item.descriptor < 0 && now - item.accepted_at > 2 * m_server.m_limits.idle_timeout;
+            return ended || has_never_sent;
         });
-        for (auto& [buffer, item] : m_records) {
+        for (auto& [buffer, item] : m_connections) {
             if (item.receiving_since != timestamp{0} &&
                 now - item.receiving_since > m_server.m_limits.receive_timeout) {
                 item.receiving_since = timestamp{0};
                 shutdown(item.descriptor, SHUT_RDWR); // evhttp frees it once the socket reports its end.
             }
         }
-        limit_accepting();
-        m_sweep.start(1s);
+        update_accepting();
+        m_check_timer.start(1s);
     }
 
-    void limit_accepting() {
+    void update_accepting() {
         if (m_server.m_socket == nullptr || m_server.m_draining) {
             return;
         }
         evconnlistener* listener = evhttp_bound_socket_get_listener(m_server.m_socket);
-        if (m_records.size() >= m_server.m_limits.max_connections) {
+        if (m_connections.size() >= m_server.m_limits.max_connections) {
             evconnlistener_disable(listener);
         } else {
             evconnlistener_enable(listener);
@@ -142,12 +142,12 @@
     }
 
     http_server& m_server;
-    timer m_sweep;
-    std::map<evbuffer*, record> m_records;
+    timer m_check_timer;
+    std::map<evbuffer*, connection_record> m_connections;
 };
 
 server_request::server_request(http_server& server, evhttp_request* handle)
-    : m_server(server), m_server_alive(server.m_lifetime.watch()), m_handle(handle),
+    : m_server(server), m_server_token(server.m_lifetime.weak_token()), m_handle(handle),
       m_method(name_of_command(evhttp_request_get_command(handle))),
       m_target(evhttp_request_get_uri(handle)) {
     for (const evkeyval* field = evhttp_request_get_input_headers(handle)->tqh_first; field != nullptr;
@@ -161,17 +161,17 @@
     ev_uint16_t port = 0;
     evhttp_connection_get_peer(evhttp_request_get_connection(handle), &address, &port);
     m_peer = address == nullptr ? "?" : address;
-    ++server.m_in_progress;
+    ++server.m_requests_in_progress;
 }
 
 server_request::~server_request() {
-    if (m_handle != nullptr && !m_server_alive.expired()) {
+    if (m_handle != nullptr && !m_server_token.expired()) {
         reply(HTTP_INTERNAL, {}, "");
     }
 }
 
 void server_request::reply(int code, const http_headers& headers, std::string_view body) {
-    if (m_server_alive.expired()) {
+    if (m_server_token.expired()) {
         return; // Its connection went with the server.
     }
     evkeyvalq* fields = evhttp_request_get_output_headers(m_handle);
@@ -187,23 +187,23 @@
     evhttp_send_reply(m_handle, code, nullptr, buffer);
     evbuffer_free(buffer);
     m_handle = nullptr;
-    --m_server.m_in_progress;
+    --m_server.m_requests_in_progress;
 }
 
 http_server::http_server(event_loop& loop, http_server_limits limits, handler on_request)
     : m_loop(loop), m_limits(limits), m_handler(std::move(on_request)), m_http(evhttp_new(loop.base())),
-      m_door(std::make_unique<door>(*this)) {
+      m_connection_tracker(std::make_unique<connection_tracker>(*this)) {
     evhttp_set_max_body_size(m_http, static_cast<ev_ssize_t>(limits.max_body));
     evhttp_set_max_headers_size(m_http, static_cast<ev_ssize_t>(limits.max_headers));
     evhttp_set_timeout(m_http, static_cast<int>(limits.idle_timeout.count() / 1000));
     evhttp_set_allowed_methods(m_http, all_methods);
     evhttp_set_default_content_type(m_http, nullptr);
-    evhttp_set_bevcb(m_http, &door::make_connection, m_door.get());
+    evhttp_set_bevcb(m_http, &connection_tracker::make_connection, m_connection_tracker.get());
     evhttp_set_gencb(
         m_http,
         [](evhttp_request* request, void* self) {
             auto* server = static_cast<http_server*>(self);
-            server->m_door->received(evhttp_request_get_connection(request));
+            server->m_connection_tracker->mark_request_received(evhttp_request_get_connection(request));
             server->m_handler(std::make_shared<server_request>(*server, request));
         },
         this);
@@ -213,8 +213,8 @@
     evhttp_free(m_http);
 }
 
-bool http_server::listen(const endpoint& where) {
-    m_socket = evhttp_bind_socket_with_handle(m_http, where.address.c_str(), where.port);
+bool http_server::listen(const endpoint& local_endpoint) {
+    m_socket = evhttp_bind_socket_with_handle(m_http, local_endpoint.address.c_str(), local_endpoint.port);
     return m_socket != nullptr;
 }
 
@@ -233,8 +233,8 @@
     }
 }
 
-std::size_t http_server::connections() const noexcept {
-    return m_door->count();
+std::size_t http_server::connection_count() const noexcept {
+    return m_connection_tracker->count();
 }
 
 } // namespace siskinpaddle
--- a/net/http_server.hpp
+++ b/net/http_server.hpp
@@ -36,7 +36,7 @@
 
   private:
     http_server& m_server;
-    std::weak_ptr<void> m_server_alive;
+    std::weak_ptr<void> m_server_token;
     evhttp_request* m_handle;
     std::string m_method;
     std::string m_target;
@@ -65,7 +65,7 @@
     http_server& operator=(const http_server&) = delete;
 
     /// Binds and accepts. Returns false when the address can't be bound.
-    [[nodiscard]] bool listen(const endpoint& where);
+    [[nodiscard]] bool listen(const endpoint& local_endpoint);
 
     /// Port that was bound, for a listener on port 0.
     [[nodiscard]] std::uint16_t port() const;
@@ -75,22 +75,22 @@
 
     /// Goes on accepting, but asks each client, with its next answer, to close its connection, while `on`: a
     /// process that will stop soon, or can't serve, sheds its connections while it is still sent new ones.
-    void shed_connections(bool on) { m_shedding = on; }
+    void set_connection_shedding(bool enabled) { m_shedding = enabled; }
 
-    [[nodiscard]] std::size_t in_progress() const noexcept { return m_in_progress; }
-    [[nodiscard]] std::size_t connections() const noexcept;
+    [[nodiscard]] std::size_t requests_in_progress() const noexcept { return m_requests_in_progress; }
+    [[nodiscard]] std::size_t connection_count() const noexcept;
 
   private:
     friend class server_request;
-    class door;
+    class connection_tracker;
 
     event_loop& m_loop;
     http_server_limits m_limits;
     handler m_handler;
     evhttp* m_http;
     evhttp_bound_socket* m_socket = nullptr;
-    std::unique_ptr<door> m_door;
-    std::size_t m_in_progress = 0;
+    std::unique_ptr<connection_tracker> m_connection_tracker;
+    std::size_t m_requests_in_progress = 0;
     bool m_draining = false;
     bool m_shedding = false;
     lifetime m_lifetime;
--- a/net/http_types.cpp
+++ b/net/http_types.cpp
@@ -4,13 +4,13 @@
 
 namespace siskinpaddle {
 
-bool equal_without_case(std::string_view a, std::string_view b) {
+bool equals_ignoring_case(std::string_view a, std::string_view b) {
     return a.size() == b.size() && evutil_ascii_strncasecmp(a.data(), b.data(), a.size()) == 0;
 }
 
 std::string_view http_headers::get(std::string_view name) const {
     for (const auto& [field, value] : m_fields) {
-        if (equal_without_case(field, name)) {
+        if (equals_ignoring_case(field, name)) {
             return value;
         }
     }
@@ -19,7 +19,7 @@
 
 bool http_headers::has(std::string_view name) const {
     for (const auto& [field, value] : m_fields) {
-        if (equal_without_case(field, name)) {
+        if (equals_ignoring_case(field, name)) {
             return true;
         }
     }
@@ -27,8 +27,9 @@
 }
 
 std::string query_parameter(std::string_view target, std::string_view name) {
-    const std::size_t mark = target.find('?');
-    std::string_view query = mark == std::string_view::npos ? std::string_view{} : target.substr(mark + 1);
+    const std::size_t separator = target.find('?');
+    std::string_view query =
+        separator == std::string_view::npos ? std::string_view{} : target.substr(separator + 1);
     while (!query.empty()) {
         const std::string_view pair = query.substr(0, query.find('&'));
         query.remove_prefix(std::min(query.size(), pair.size() + 1));
--- a/net/http_types.hpp
+++ b/net/http_types.hpp
@@ -27,7 +27,7 @@
 };
 
 /// Whether two header names or tokens are equal without case.
-[[nodiscard]] bool equal_without_case(std::string_view a, std::string_view b);
+[[nodiscard]] bool equals_ignoring_case(std::string_view a, std::string_view b);
 
 /// Value of a query parameter in a request target, or "".
 [[nodiscard]] std::string query_parameter(std::string_view target, std::string_view name);
--- a/net/lifetime.hpp
+++ b/net/lifetime.hpp
@@ -8,7 +8,7 @@
 class lifetime {
   public:
     /// Expires when the owner is destroyed.
-    [[nodiscard]] std::weak_ptr<void> watch() const { return m_token; }
+    [[nodiscard]] std::weak_ptr<void> weak_token() const { return m_token; }
 
   private:
     std::shared_ptr<void> m_token = std::make_shared<char>();
--- a/net/loop_clock.cpp
+++ b/net/loop_clock.cpp
@@ -6,31 +6,31 @@
 
 loop_clock::loop_clock(event_loop& loop) : m_timer(loop.make_timer([this] { advance(); })) {}
 
-void loop_clock::run() {
-    if (m_ticked_at != timestamp(0)) {
+void loop_clock::start() {
+    if (m_last_tick_at != timestamp(0)) {
         return;
     }
-    m_ticked_at = event_loop::now();
+    m_last_tick_at = event_loop::now();
     m_timer->start(tick);
 }
 
-void loop_clock::rest() {
-    m_passed = read(event_loop::now());
-    m_ticked_at = timestamp(0);
+void loop_clock::stop() {
+    m_elapsed = read(event_loop::now());
+    m_last_tick_at = timestamp(0);
     m_timer->cancel();
 }
 
 milliseconds loop_clock::read(timestamp now) const {
-    if (m_ticked_at == timestamp(0)) {
-        return m_passed;
+    if (m_last_tick_at == timestamp(0)) {
+        return m_elapsed;
     }
-    return m_passed + std::clamp(now - m_ticked_at, milliseconds(0), tick);
+    return m_elapsed + std::clamp(now - m_last_tick_at, milliseconds(0), tick);
 }
 
 void loop_clock::advance() {
     const timestamp now = event_loop::now();
-    m_passed = read(now);
-    m_ticked_at = now;
+    m_elapsed = read(now);
+    m_last_tick_at = now;
     m_timer->start(tick);
 }
 
--- a/net/loop_clock.hpp
+++ b/net/loop_clock.hpp
@@ -20,9 +20,9 @@
     explicit loop_clock(event_loop& loop);
 
     /// Runs from now on; harmless if it does already.
-    void run();
+    void start();
     /// Stands still from now on.
-    void rest();
+    void stop();
     /// Time that has passed on this clock, at the steady clock's `now`.
     [[nodiscard]] milliseconds read(timestamp now) const;
 
@@ -30,8 +30,8 @@
     void advance();
 
     std::unique_ptr<timer> m_timer;
-    milliseconds m_passed{0}; ///< Up to the latest tick.
-    timestamp m_ticked_at{0}; ///< 0: it stands still.
+    milliseconds m_elapsed{0};   ///< Up to the latest tick.
+    timestamp m_last_tick_at{0}; ///< 0: it stands still.
 };
 
 } // namespace siskinpaddle
--- a/net/read_on.cpp
+++ b/net/read_available.cpp
@@ -1,4 +1,4 @@
-#include "net/read_on.hpp"
+#include "net/read_available.hpp"
 
 #include <event2/buffer.h>
 
@@ -7,20 +7,20 @@
 namespace {
 
 /// What libevent reads of a connection at once, whatever lies there (EVBUFFER_MAX_READ).
-constexpr std::size_t read_at_once = 4096;
+constexpr std::size_t libevent_read_size = 4096;
 /// Reads of one connection in one turn of the loop.
-constexpr int most_reads = 64;
+constexpr int max_reads = 64;
 
 } // namespace
 
-void read_on(evbuffer* input, evutil_socket_t socket, std::size_t added) {
+void read_available(evbuffer* input, evutil_socket_t socket, std::size_t added_bytes) {
     thread_local bool reading = false; // Each read here calls back once more.
-    if (reading || added < read_at_once) {
+    if (reading || added_bytes < libevent_read_size) {
         return;
     }
     reading = true;
-    for (int reads = 1; reads < most_reads; ++reads) {
-        if (evbuffer_read(input, socket, -1) < static_cast<int>(read_at_once)) {
+    for (int reads = 1; reads < max_reads; ++reads) {
+        if (evbuffer_read(input, socket, -1) < static_cast<int>(libevent_read_size)) {
             break;
         }
     }
--- a/net/read_on.hpp
+++ b/net/read_available.hpp
@@ -15,6 +15,6 @@
 /// libevent reads 4 KB of a connection in one turn. On a busy node (75 to 200 ms a turn) a body of 100 KB
 /// took longer than its call may: it was given up half read and asked for again, larger each time, and a copy
 /// of the store's items stayed old for as long as the load lasted.
-void read_on(evbuffer* input, evutil_socket_t socket, std::size_t added);
+void read_available(evbuffer* input, evutil_socket_t socket, std::size_t added_bytes);
 
 } // namespace siskinpaddle
--- a/net/stream.cpp
+++ b/net/stream.cpp
@@ -29,7 +29,7 @@
     bufferevent_write(handle, frame.data(), frame.size());
 }
 
-enum class frame_state : std::uint8_t { partial, whole, oversized };
+enum class frame_state : std::uint8_t { partial, complete, oversized };
 
 frame_state read_frame(bufferevent* handle, std::string& frame) {
     evbuffer* input = bufferevent_get_input(handle);
@@ -38,7 +38,7 @@
         return frame_state::partial;
     }
     const std::size_t size = ntohl(length);
-    if (size > max_frame) {
+    if (size > max_frame_bytes) {
         return frame_state::oversized;
     }
     if (evbuffer_get_length(input) < size + length_bytes) {
@@ -47,7 +47,7 @@
     evbuffer_drain(input, length_bytes);
     frame.resize(size);
     evbuffer_remove(input, frame.data(), size);
-    return frame_state::whole;
+    return frame_state::complete;
 }
 
 } // namespace
@@ -70,8 +70,8 @@
     }
 }
 
-bool frame_server::listen(const endpoint& where) {
-    const sockaddr_in address = to_sockaddr(where);
+bool frame_server::listen(const endpoint& local_endpoint) {
+    const sockaddr_in address = to_sockaddr(local_endpoint);
     m_listener = evconnlistener_new_bind(
         m_loop.base(),
         [](evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* self) {
@@ -114,7 +114,7 @@
     case frame_state::oversized:
         close(item.handle);
         return;
-    case frame_state::whole:
+    case frame_state::complete:
         break;
     }
     const std::string answer = m_handler(frame);
@@ -173,15 +173,15 @@
             case frame_state::oversized:
                 ready->client.finish(ready, stream_status::failed, {});
                 return;
-            case frame_state::whole:
+            case frame_state::complete:
                 ready->client.finish(ready, stream_status::answered, answer);
                 return;
             }
         },
         nullptr,
-        [](bufferevent* handle, short what, void* self) {
+        [](bufferevent* handle, short events, void* self) {
             auto* ready = static_cast<exchange*>(self);
-            if ((what & BEV_EVENT_CONNECTED) == 0) {
+            if ((events & BEV_EVENT_CONNECTED) == 0) {
                 const bool refused = EVUTIL_SOCKET_ERROR() == ECONNREFUSED;
                 ready->client.finish(ready, refused ? stream_status::refused : stream_status::failed, {});
             } else if (ready->frame.empty()) {
@@ -204,7 +204,7 @@
         return;
     }
     item->ended = true;
-    m_loop.post([this, alive = m_lifetime.watch(), item, status, answer = std::string(frame)] {
+    m_loop.post([this, alive = m_lifetime.weak_token(), item, status, answer = std::string(frame)] {
         if (alive.expired()) {
             return;
         }
--- a/net/stream.hpp
+++ b/net/stream.hpp
@@ -15,7 +15,7 @@
 namespace siskinpaddle {
 
 /// Largest frame on a stream.
-inline constexpr std::size_t max_frame = 4U << 20U;
+inline constexpr std::size_t max_frame_bytes = 4U << 20U;
 
 /// How a stream exchange ended.
 enum class stream_status : std::uint8_t { answered, refused, failed };
@@ -32,7 +32,7 @@
     frame_server& operator=(const frame_server&) = delete;
 
     /// Returns false when the address can't be bound.
-    [[nodiscard]] bool listen(const endpoint& where);
+    [[nodiscard]] bool listen(const endpoint& local_endpoint);
 
     [[nodiscard]] std::uint64_t bytes_sent() const noexcept { return m_bytes_sent; }
 
--- a/net/udp_socket.cpp
+++ b/net/udp_socket.cpp
@@ -39,9 +39,9 @@
     }
 }
 
-bool udp_socket::bind(const endpoint& where) {
+bool udp_socket::bind(const endpoint& local_endpoint) {
     m_socket = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    const sockaddr_in address = to_sockaddr(where);
+    const sockaddr_in address = to_sockaddr(local_endpoint);
     if (m_socket < 0 || ::bind(m_socket, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0) {
         return false;
     }
@@ -52,7 +52,7 @@
 }
 
 void udp_socket::send(std::string_view datagram, const endpoint& to) {
-    if (datagram.size() > max_datagram) {
+    if (datagram.size() > max_datagram_bytes) {
         return;
     }
     const sockaddr_in address = to_sockaddr(to);
@@ -63,9 +63,9 @@
 }
 
 void udp_socket::read() {
-    constexpr int most_at_once = 64; // Leaves the loop to the other sockets under a flood.
-    static thread_local std::vector<char> buffer(max_datagram + 1);
-    for (int i = 0; i < most_at_once; ++i) {
+    constexpr int max_datagrams = 64; // Leaves the loop to the other sockets under a flood.
+    static thread_local std::vector<char> buffer(max_datagram_bytes + 1);
+    for (int i = 0; i < max_datagrams; ++i) {
         sockaddr_in from{};
         socklen_t size = sizeof(from);
         const ssize_t length =
@@ -73,7 +73,7 @@
         if (length < 0) {
             return;
         }
-        if (static_cast<std::size_t>(length) <= max_datagram) {
+        if (static_cast<std::size_t>(length) <= max_datagram_bytes) {
             m_handler({buffer.data(), static_cast<std::size_t>(length)}, to_endpoint(from));
         }
     }
--- a/net/udp_socket.hpp
+++ b/net/udp_socket.hpp
@@ -19,7 +19,7 @@
     udp_socket& operator=(const udp_socket&) = delete;
 
     /// Returns false when the address can't be bound.
-    [[nodiscard]] bool bind(const endpoint& where);
+    [[nodiscard]] bool bind(const endpoint& local_endpoint);
 
     /// Sends or drops; UDP promises no more.
     void send(std::string_view datagram, const endpoint& to);
@@ -27,7 +27,7 @@
     [[nodiscard]] std::uint64_t bytes_sent() const noexcept { return m_bytes_sent; }
 
     /// Largest datagram that is sent or received.
-    static constexpr std::size_t max_datagram = 60'000;
+    static constexpr std::size_t max_datagram_bytes = 60'000;
 
   private:
     void read();
--- a/node/fleet_moves.cpp
+++ b/node/fleet_moves.cpp
@@ -106,7 +106,7 @@
 void fleet_task::order_move(const jobs::machine_move& move) {
     m_parts.machines.move({m_parts.membership.self().id, m_held.token}, move.machine, move.pool,
                           [this, move, kind = m_machines[move.machine].kind,
-                           alive = m_lifetime.watch()](platform::machine_outcome outcome) {
+                           alive = m_lifetime.weak_token()](platform::machine_outcome outcome) {
                               if (!alive.expired()) {
                                   move_ordered(move, kind, outcome);
                               }
--- a/node/fleet_orders.cpp
+++ b/node/fleet_orders.cpp
@@ -41,7 +41,7 @@
     const timestamp asked_at = event_loop::now();
     m_parts.store.grant_lease(m_parts.settings.order_quiet + announcement_use + announcement_margin,
                               [this, machines, asked_at, done = std::move(done),
-                               alive = m_lifetime.watch()](const platform::lease_answer& answer) {
+                               alive = m_lifetime.weak_token()](const platform::lease_answer& answer) {
                                   if (alive.expired()) {
                                       return;
                                   }
@@ -62,16 +62,17 @@
     const std::string key =
         announcement_prefix + std::to_string(m_held.token) + "-" + std::to_string(m_announcements++);
     change.writes.push_back({key, encode_archive(machines), m_announcement_lease});
-    m_parts.store.commit(change, [done, alive = m_lifetime.watch()](const platform::store_answer& answer) {
-        if (!alive.expired()) {
-            done(answer.status == platform::store_status::ok);
-        }
-    });
+    m_parts.store.commit(change,
+                         [done, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
+                             if (!alive.expired()) {
+                                 done(answer.status == platform::store_status::ok);
+                             }
+                         });
 }
 
 void fleet_task::read_announcements() {
     m_parts.store.range(announcement_prefix, {},
-                        [this, alive = m_lifetime.watch()](const platform::store_answer& answer) {
+                        [this, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
                             if (alive.expired() || answer.status != platform::store_status::ok) {
                                 return;
                             }
--- a/node/fleet_task.cpp
+++ b/node/fleet_task.cpp
@@ -98,7 +98,7 @@
         const std::set<std::string> kept_empty = m_clear.of(pool);
         request.vms.assign(kept_empty.begin(), kept_empty.end());
         m_parts.ask_pool(request, [this, pool, kept_empty, round = m_round,
-                                   alive = m_lifetime.watch()](const peer_answer& answer) {
+                                   alive = m_lifetime.weak_token()](const peer_answer& answer) {
             if (!alive.expired()) {
                 pool_answered(pool, kept_empty, round, answer);
             }
@@ -133,7 +133,7 @@
 void fleet_task::list_machines() {
     m_timer->start(list_patience);
     m_parts.machines.list(
-        [this, round = m_round, alive = m_lifetime.watch()](const platform::machine_list& list) {
+        [this, round = m_round, alive = m_lifetime.weak_token()](const platform::machine_list& list) {
             if (alive.expired() || round != m_round || m_stopped) {
                 return;
             }
--- a/node/fleet_upkeep.cpp
+++ b/node/fleet_upkeep.cpp
@@ -73,7 +73,7 @@
     }
     item.reading = true;
     m_parts.store.get(wave_record_key(number),
-                      [this, number, alive = m_lifetime.watch()](const platform::store_answer& answer) {
+                      [this, number, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
                           if (!alive.expired()) {
                               loaded(number, answer);
                           }
@@ -107,7 +107,7 @@
 void fleet_task::order_upkeep(std::int64_t number, const std::string& machine) {
     m_parts.machines.upkeep(
         {m_parts.membership.self().id, m_held.token}, machine, number,
-        [this, number, machine, alive = m_lifetime.watch()](platform::machine_outcome outcome) {
+        [this, number, machine, alive = m_lifetime.weak_token()](platform::machine_outcome outcome) {
             if (!alive.expired()) {
                 upkeep_ordered(number, machine, outcome);
             }
@@ -151,17 +151,17 @@
     platform::store_transaction change;
     change.conditions.push_back({owner_prefix + m_held.duty, m_held.token});
     change.writes.push_back({platform::wave_status_key(number), platform::encode_wave_status(completed), 0});
-    m_parts.store.commit(
-        change, [this, number, completed, alive = m_lifetime.watch()](const platform::store_answer& answer) {
-            if (alive.expired() || answer.status == platform::store_status::ok) {
-                return;
-            }
-            if (completed) {
-                m_waves[number].completed = false; // Told again with the next round.
-            } else {
-                m_waves[number].told_running = false;
-            }
-        });
+    m_parts.store.commit(change, [this, number, completed,
+                                  alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
+        if (alive.expired() || answer.status == platform::store_status::ok) {
+            return;
+        }
+        if (completed) {
+            m_waves[number].completed = false; // Told again with the next round.
+        } else {
+            m_waves[number].told_running = false;
+        }
+    });
 }
 
 } // namespace siskinpaddle::node
--- a/node/ingress_task.cpp
+++ b/node/ingress_task.cpp
@@ -45,7 +45,7 @@
 void ingress_task::take(const request_handle& request) {
     const timestamp now = event_loop::now();
     if (!m_parts.configuration.known()) {
-        m_parts.counters.count("clients_without_configuration");
+        m_parts.counters.increment("clients_without_configuration");
         platform::answer_unavailable(*request, retry_after_start);
         return;
     }
@@ -69,7 +69,7 @@
         if (!problems.empty()) {
             log_event(event_id::client_refused, {{"job", client.call.job},
                                                  {"why", "invalid"},
-                                                 {"place", problems.items().front().place},
+                                                 {"place", problems.items().front().location},
                                                  {"problem", problems.items().front().message}});
             platform::answer_invalid(*request, problems.to_string());
             return;
@@ -103,7 +103,8 @@
 }
 
 void ingress_task::ask_owner(const client_context& client, const peer_request& message, handler next) {
-    const auto take_answer = [this, client, next, alive = m_lifetime.watch()](const peer_answer& answer) {
+    const auto take_answer = [this, client, next,
+                              alive = m_lifetime.weak_token()](const peer_answer& answer) {
         if (alive.expired()) {
             return;
         }
@@ -126,7 +127,7 @@
     const milliseconds timeout = std::min(owner_timeout, client.call.deadline / 2);
     m_parts.peers.call({owner->address, owner->port}, message, timeout,
                        [this, take_answer, owner = owner->incarnation,
-                        alive = m_lifetime.watch()](const peer_answer& answer) {
+                        alive = m_lifetime.weak_token()](const peer_answer& answer) {
                            if (!alive.expired()) {
                                note_owner(owner, answer);
                                take_answer(answer);
@@ -149,7 +150,7 @@
 
 void ingress_task::observe(const client_context& client, std::string_view outcome) {
     const std::string kind(name_of(client.call.request));
-    m_parts.counters.count("clients_" + kind + "_" + std::string(outcome));
+    m_parts.counters.increment("clients_" + kind + "_" + std::string(outcome));
     m_parts.counters.observe("client_" + kind,
                              static_cast<double>((event_loop::now() - client.received_at).count()));
 }
@@ -219,7 +220,7 @@
 /// An earlier try of the same job may have been accepted although its client heard nothing.
 void ingress_task::refuse_unless_stored(const client_context& client, milliseconds retry_after) {
     look_up_job(m_parts.store, client.call.pool, client.call.job,
-                [this, client, retry_after, alive = m_lifetime.watch()](const lookup_answer& found) {
+                [this, client, retry_after, alive = m_lifetime.weak_token()](const lookup_answer& found) {
                     if (alive.expired()) {
                         return;
                     }
@@ -256,7 +257,7 @@
     const std::uint64_t number = m_next_write++;
     m_inbox_writes.emplace(number, inbox_write{client, event_loop::now()});
     m_parts.store.commit(change, [this, client, may_be_stored, number,
-                                  alive = m_lifetime.watch()](const platform::store_answer& answer) {
+                                  alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
         if (alive.expired() || m_inbox_writes.erase(number) == 0) {
             return; // Told already that the outcome is unknown.
         }
@@ -303,7 +304,7 @@
         return;
     }
     look_up_job(m_parts.store, client.call.pool, client.call.job,
-                [this, client, alive = m_lifetime.watch()](const lookup_answer& answer) {
+                [this, client, alive = m_lifetime.weak_token()](const lookup_answer& answer) {
                     if (alive.expired()) {
                         return;
                     }
@@ -328,7 +329,7 @@
         return;
     }
     look_up_job(m_parts.store, client.call.pool, client.call.job,
-                [this, client, alive = m_lifetime.watch()](const lookup_answer& found) {
+                [this, client, alive = m_lifetime.weak_token()](const lookup_answer& found) {
                     if (alive.expired()) {
                         return;
                     }
@@ -346,18 +347,18 @@
 void ingress_task::cancel_by_store(const client_context& client) {
     platform::store_transaction change;
     change.writes.push_back({cancel_key(client.call.pool, client.call.job), "1", 0});
-    m_parts.store.commit(change,
-                         [this, client, alive = m_lifetime.watch()](const platform::store_answer& answer) {
-                             if (alive.expired()) {
-                                 return;
-                             }
-                             if (answer.status == platform::store_status::ok) {
-                                 observe(client, "ok_by_store");
-                                 platform::answer_accepted(*client.request);
-                             } else {
-                                 give_up(client, "store");
-                             }
-                         });
+    m_parts.store.commit(
+        change, [this, client, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
+            if (alive.expired()) {
+                return;
+            }
+            if (answer.status == platform::store_status::ok) {
+                observe(client, "ok_by_store");
+                platform::answer_accepted(*client.request);
+            } else {
+                give_up(client, "store");
+            }
+        });
 }
 
 // --- Count ---
--- a/node/ingress_task.hpp
+++ b/node/ingress_task.hpp
@@ -34,14 +34,14 @@
     /// Whether clients are asked to go elsewhere with their next request; goes on serving. Answers entries
     /// that can't reach the store: the platform sends them no new connections, but a client that keeps its
     /// connection open would be refused there for as long as the partition lasts.
-    void shed(bool on) { m_server.shed_connections(on); }
+    void shed(bool on) { m_server.set_connection_shedding(on); }
     /// Takes no new connections.
     void close() { m_server.drain(); }
     /// Answers the clients whose jobs were sent to a store that has fallen silent: the outcome is unknown,
     /// and they may ask again. Called several times a second. Guards against clients that are held until the
     /// store's time-out, or their own deadline, and have no time left for the try that would be accepted.
     void answer_for_silence();
-    [[nodiscard]] bool idle() const noexcept { return m_server.in_progress() == 0; }
+    [[nodiscard]] bool idle() const noexcept { return m_server.requests_in_progress() == 0; }
     /// When the store was last reached by an owner on another node that answers this one. An owner's answer
     /// alone proves nothing: cut off together with this node it still answers, and can accept nothing. With
     /// readiness judged by that answer alone clients of a zone that is cut off would go on coming here.
--- a/node/membership_task.cpp
+++ b/node/membership_task.cpp
@@ -79,12 +79,12 @@
         return;
     }
     const timestamp asked_at = event_loop::now();
-    m_store.grant_lease(lease_ttl,
-                        [this, asked_at, alive = m_lifetime.watch()](const platform::lease_answer& answer) {
-                            if (!alive.expired()) {
-                                granted(answer, asked_at);
-                            }
-                        });
+    m_store.grant_lease(
+        lease_ttl, [this, asked_at, alive = m_lifetime.weak_token()](const platform::lease_answer& answer) {
+            if (!alive.expired()) {
+                granted(answer, asked_at);
+            }
+        });
 }
 
 void membership_task::granted(const platform::lease_answer& answer, timestamp asked_at) {
@@ -105,7 +105,7 @@
 void membership_task::register_self() {
     platform::store_transaction change;
     change.writes.push_back({node_prefix + m_self.id, encode_archive(m_self), m_lease});
-    m_store.commit(change, [this, alive = m_lifetime.watch()](const platform::store_answer& answer) {
+    m_store.commit(change, [this, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
         if (alive.expired() || m_leaving) {
             return;
         }
@@ -127,12 +127,13 @@
         return;
     }
     const timestamp asked_at = event_loop::now();
-    m_store.renew_lease(m_lease, renew_timeout,
-                        [this, asked_at, alive = m_lifetime.watch()](const platform::lease_answer& answer) {
-                            if (!alive.expired()) {
-                                renewed(answer, asked_at);
-                            }
-                        });
+    m_store.renew_lease(
+        m_lease, renew_timeout,
+        [this, asked_at, alive = m_lifetime.weak_token()](const platform::lease_answer& answer) {
+            if (!alive.expired()) {
+                renewed(answer, asked_at);
+            }
+        });
 }
 
 void membership_task::renewed(const platform::lease_answer& answer, timestamp asked_at) {
@@ -320,12 +321,12 @@
                                        {"epoch", record.epoch},
                                        {"position", claim_position(duty)},
                                        {"nodes", m_nodes.size()}});
-    m_store.commit(change,
-                   [this, duty, record, alive = m_lifetime.watch()](const platform::store_answer& answer) {
-                       if (!alive.expired()) {
-                           claimed(duty, record, answer);
-                       }
-                   });
+    m_store.commit(
+        change, [this, duty, record, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
+            if (!alive.expired()) {
+                claimed(duty, record, answer);
+            }
+        });
 }
 
 void membership_task::claimed(const std::string& duty, const owner_record& record,
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -161,7 +161,7 @@
     if (event_loop::now() >= m_membership.act_until(task->first)) {
         return false; // Perhaps no longer ours: the store knows.
     }
-    task->second->handle(request, sure_reply::make(done, m_lifetime.watch()));
+    task->second->handle(request, sure_reply::make(done, m_lifetime.weak_token()));
     return true;
 }
 
--- a/node/pool_inbox.cpp
+++ b/node/pool_inbox.cpp
@@ -77,7 +77,7 @@
         }
         ++m_inbox_writes;
         m_parts.store.commit(change, [this, batch, token = m_held.token,
-                                      alive = m_lifetime.watch()](const platform::store_answer& answer) {
+                                      alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
             if (!alive.expired()) {
                 inbox_jobs_written(batch, answer, token);
             }
--- a/node/pool_renewals.cpp
+++ b/node/pool_renewals.cpp
@@ -29,7 +29,7 @@
 void pool_task::renew(const std::string& vm) {
     const auto known = m_scheduler.vms().find(vm);
     if (known == m_scheduler.vms().end()) {
-        m_parts.loop.post([this, vm, alive = m_lifetime.watch()] {
+        m_parts.loop.post([this, vm, alive = m_lifetime.weak_token()] {
             if (!alive.expired() && !m_scheduler.vms().contains(vm)) {
                 m_links.erase(vm); // Not from inside its own timer.
             }
@@ -59,13 +59,13 @@
         wait = m_scheduler.wants_close_look(vm) ? close_look_wait : renewal_wait;
     }
     const std::int64_t deadline = m_scheduler.renewal_deadline(vm, event_loop::now());
-    m_parts.vms.renew(
-        state.info(), m_held.token, deadline, state.acknowledged, wait,
-        [this, vm, token = m_held.token, alive = m_lifetime.watch()](const platform::renewal_answer& answer) {
-            if (!alive.expired()) {
-                renewed(vm, answer, token);
-            }
-        });
+    m_parts.vms.renew(state.info(), m_held.token, deadline, state.acknowledged, wait,
+                      [this, vm, token = m_held.token,
+                       alive = m_lifetime.weak_token()](const platform::renewal_answer& answer) {
+                          if (!alive.expired()) {
+                              renewed(vm, answer, token);
+                          }
+                      });
 }
 
 void pool_task::renewed(const std::string& vm, const platform::renewal_answer& answer, std::int64_t token) {
@@ -75,7 +75,7 @@
     }
     link->second.renewing = false;
     const timestamp now = event_loop::now();
-    m_parts.counters.count("renewals_" + std::string(name_of(answer.outcome)));
+    m_parts.counters.increment("renewals_" + std::string(name_of(answer.outcome)));
     if (answer.outcome == jobs::order_outcome::accepted) {
         if (link->second.failures > 0) {
             log_event(event_id::vm_reachable, {{"pool", m_pool}, {"vm", vm}});
--- a/node/pool_storing.cpp
+++ b/node/pool_storing.cpp
@@ -82,7 +82,7 @@
     }
     ++m_chunks_open;
     m_parts.store.commit(change, [this, written, token = m_held.token,
-                                  alive = m_lifetime.watch()](const platform::store_answer& answer) {
+                                  alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
         if (!alive.expired()) {
             chunk_written(written, answer, token);
         }
--- a/node/pool_submits.cpp
+++ b/node/pool_submits.cpp
@@ -91,7 +91,7 @@
     m_writing_submits = true;
     m_sent_submits = std::move(batch);
     m_parts.store.commit(change, [this, token = m_held.token,
-                                  alive = m_lifetime.watch()](const platform::store_answer& answer) {
+                                  alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
         if (!alive.expired()) {
             submits_written(std::exchange(m_sent_submits, {}), answer, token);
         }
--- a/node/pool_takeover.cpp
+++ b/node/pool_takeover.cpp
@@ -26,7 +26,7 @@
 
 void pool_task::load_progress(const std::string& after) {
     m_parts.store.range(progress_prefix(m_pool), after,
-                        [this, after, alive = m_lifetime.watch()](const platform::store_answer& answer) {
+                        [this, after, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
                             if (alive.expired()) {
                                 return;
                             }
@@ -57,7 +57,7 @@
 void pool_task::load_jobs(const std::string& after) {
     m_parts.store.range(
         job_prefix(m_pool), after,
-        [this, after, alive = m_lifetime.watch()](const platform::store_answer& answer) {
+        [this, after, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
             if (alive.expired()) {
                 return;
             }
@@ -85,8 +85,8 @@
 }
 
 void pool_task::load_vms() {
-    m_parts.store.get(vms_key(m_pool), [this,
-                                        alive = m_lifetime.watch()](const platform::store_answer& answer) {
+    m_parts.store.get(vms_key(m_pool), [this, alive = m_lifetime.weak_token()](
+                                           const platform::store_answer& answer) {
         if (alive.expired()) {
             return;
         }
--- a/node/pool_task.cpp
+++ b/node/pool_task.cpp
@@ -204,7 +204,7 @@
 }
 
 void pool_task::log_suspicion(const jobs::suspicion_change& change) const {
-    m_parts.counters.count("suspicions_" + std::string(name_of(change.level)));
+    m_parts.counters.increment("suspicions_" + std::string(name_of(change.level)));
     std::string evidence;
     for (const jobs::crash_evidence& item : change.evidence) {
         evidence += (evidence.empty() ? "" : ",") + item.vm + ":" + std::string(name_of(item.kind)) + ":" +
@@ -224,7 +224,7 @@
 }
 
 void pool_task::log_vm_end(const jobs::vm_end& end) const {
-    m_parts.counters.count("vm_ends_" + std::string(name_of(end.cause)));
+    m_parts.counters.increment("vm_ends_" + std::string(name_of(end.cause)));
     std::string runs;
     for (const jobs::ended_run& item : std::span(end.runs).first(std::min(end.runs.size(), runs_in_line))) {
         runs += (runs.empty() ? "" : ",") + platform::encode_task(item.task) + "#" +
@@ -243,7 +243,7 @@
 
 void pool_task::check_answer(const std::string& vm, jobs::order_outcome outcome, const char* order,
                              const jobs::task_id& task, std::uint32_t attempt, std::int64_t token) {
-    m_parts.counters.count("orders_" + std::string(order) + "_" + std::string(name_of(outcome)));
+    m_parts.counters.increment("orders_" + std::string(order) + "_" + std::string(name_of(outcome)));
     if (outcome == jobs::order_outcome::accepted) {
         return;
     }
@@ -268,7 +268,7 @@
     m_parts.vms.start(
         vm->second.info(), m_held.token, order, job->spec().payload,
         [this, order, token = m_held.token,
-         alive = m_lifetime.watch()](const platform::order_answer& answer) {
+         alive = m_lifetime.weak_token()](const platform::order_answer& answer) {
             if (alive.expired()) {
                 return;
             }
@@ -287,7 +287,7 @@
     }
     m_parts.vms.stop(vm->second.info(), m_held.token, order,
                      [this, order, token = m_held.token,
-                      alive = m_lifetime.watch()](const platform::order_answer& answer) {
+                      alive = m_lifetime.weak_token()](const platform::order_answer& answer) {
                          if (!alive.expired()) {
                              m_scheduler.stop_answered(order, answer.outcome, answer.clock_ms,
                                                        event_loop::now());
@@ -303,7 +303,7 @@
     }
     m_parts.vms.pace(vm->second.info(), m_held.token, order,
                      [this, order, token = m_held.token,
-                      alive = m_lifetime.watch()](const platform::order_answer& answer) {
+                      alive = m_lifetime.weak_token()](const platform::order_answer& answer) {
                          if (!alive.expired()) {
                              check_answer(order.vm, answer.outcome, "pace", order.task, order.attempt, token);
                          }
@@ -311,9 +311,9 @@
 }
 
 void pool_task::send_question(const jobs::advice_request& question) {
-    m_parts.counters.count("advice_questions");
+    m_parts.counters.increment("advice_questions");
     m_parts.advice.ask(question,
-                       [this, question, alive = m_lifetime.watch()](const jobs::advice_answer& answer) {
+                       [this, question, alive = m_lifetime.weak_token()](const jobs::advice_answer& answer) {
                            if (alive.expired()) {
                                return;
                            }
--- a/node/pool_vms.cpp
+++ b/node/pool_vms.cpp
@@ -50,7 +50,7 @@
         return;
     }
     const jobs::vm_state& vm = known->second;
-    m_parts.counters.count("vm_capacity_changes");
+    m_parts.counters.increment("vm_capacity_changes");
     log_event(event_id::vm_capacity_changed, {{"pool", m_pool},
                                               {"vm", info.incarnation},
                                               {"cpu", info.capacity.cpu_millicores},
@@ -136,7 +136,7 @@
     change.writes.push_back({vms_key(m_pool), encode_archive(named), 0});
     m_record.begin(std::move(wanted));
     m_parts.store.commit(change, [this, token = m_held.token,
-                                  alive = m_lifetime.watch()](const platform::store_answer& answer) {
+                                  alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
         if (!alive.expired()) {
             record_written(answer, token);
         }
@@ -189,7 +189,7 @@
         return;
     }
     m_unheard_timer->start(unheard_interval);
-    m_parts.machines.list([this, alive = m_lifetime.watch()](const platform::machine_list& list) {
+    m_parts.machines.list([this, alive = m_lifetime.weak_token()](const platform::machine_list& list) {
         if (!alive.expired()) {
             take_machines(list);
         }
--- a/node/siskinpaddle_node.cpp
+++ b/node/siskinpaddle_node.cpp
@@ -25,7 +25,7 @@
     node::node process(loop, settings);
     if (const findings problems = process.listen(); !problems.empty()) {
         std::cerr << problems.to_string();
-        return exit_failed;
+        return exit_failure;
     }
     const auto stop = [&] { process.stop([&loop] { loop.stop(); }); };
     loop.on_signal(SIGTERM, stop);
@@ -33,7 +33,7 @@
     loop.on_signal(SIGHUP, [&] { check_again(path); });
     process.start();
     loop.run();
-    return exit_good;
+    return exit_success;
 }
 
 } // namespace
@@ -55,19 +55,19 @@
         const auto least = value_named<event_level>(level.getValue());
         if (!least) {
             std::cerr << "--log-level: '" << level.getValue() << "' is not a level\n";
-            return exit_bad_settings;
+            return exit_invalid_settings;
         }
         const auto settings = load_settings(file.getValue(), node::parse_node_settings, std::cerr);
         if (!settings) {
-            return exit_bad_settings;
+            return exit_invalid_settings;
         }
         if (check.getValue()) {
             std::cout << file.getValue() << ": good\n";
-            return exit_good;
+            return exit_success;
         }
         return run(*settings, file.getValue(), *least);
     } catch (const std::exception& error) {
         std::cerr << "siskinpaddle-node: " << error.what() << "\n";
-        return exit_failed;
+        return exit_failure;
     }
 }
--- a/node/vm_directory.cpp
+++ b/node/vm_directory.cpp
@@ -63,7 +63,7 @@
         known->second = problem;
         log_event(event_id::vm_damaged, {{"vm", incarnation},
                                          {"revision", revision},
-                                         {"place", problem.place},
+                                         {"place", problem.location},
                                          {"why", problem.message}});
     }
     delist(incarnation);
--- a/node/watch_task.cpp
+++ b/node/watch_task.cpp
@@ -95,7 +95,7 @@
         m_page_sent_at = event_loop::now();
     }
     m_store.range(m_prefix, after,
-                  [this, round, alive = m_lifetime.watch()](const platform::store_answer& answer) {
+                  [this, round, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
                       if (!alive.expired()) {
                           take_page(answer, round);
                       }
@@ -173,7 +173,7 @@
     m_watch_sent_at = event_loop::now();
     m_waiting_watch =
         m_store.watch(m_prefix, m_revision, m_wait,
-                      [this, round, alive = m_lifetime.watch()](const platform::store_answer& answer) {
+                      [this, round, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
                           if (!alive.expired()) {
                               take_events(answer, round);
                           }
--- a/policy/configuration.cpp
+++ b/policy/configuration.cpp
@@ -14,14 +14,19 @@
 
     void read(const boost::json::value& document) {
         json_object root(document, "", m_out);
-        root.each("members", [this](auto& name, auto& value, auto& path) { read_member(name, value, path); });
-        root.each("teams", [this](auto& name, auto& value, auto& path) { read_team(name, value, path); });
-        root.each("pools", [this](auto& name, auto& value, auto& path) { read_pool(name, value, path); });
-        root.each("services",
-                  [this](auto& name, auto& value, auto& path) { read_service(name, value, path); });
-        root.each("routes", [this](auto& name, auto& value, auto& path) { read_route(name, value, path); });
-        root.each("waves", [this](auto& name, auto& value, auto& path) { read_wave(name, value, path); });
-        root.each("removed_entries", [this](auto& name, auto& value, auto& path) {
+        root.for_each_member("members",
+                             [this](auto& name, auto& value, auto& path) { read_member(name, value, path); });
+        root.for_each_member("teams",
+                             [this](auto& name, auto& value, auto& path) { read_team(name, value, path); });
+        root.for_each_member("pools",
+                             [this](auto& name, auto& value, auto& path) { read_pool(name, value, path); });
+        root.for_each_member(
+            "services", [this](auto& name, auto& value, auto& path) { read_service(name, value, path); });
+        root.for_each_member("routes",
+                             [this](auto& name, auto& value, auto& path) { read_route(name, value, path); });
+        root.for_each_member("waves",
+                             [this](auto& name, auto& value, auto& path) { read_wave(name, value, path); });
+        root.for_each_member("removed_entries", [this](auto& name, auto& value, auto& path) {
             json_object(value, path, m_out).reject_unknown();
             m_config.removed_entries.insert(name);
         });
--- a/policy/target_table.cpp
+++ b/policy/target_table.cpp
@@ -128,8 +128,8 @@
         if (good.empty()) {
             return std::nullopt;
         }
-        const target* first = good[random.below(good.size())];
-        const target* second = good[random.below(good.size())];
+        const target* first = good[random.next_below(good.size())];
+        const target* second = good[random.next_below(good.size())];
         chosen = first->in_flight <= second->in_flight ? first : second;
     }
     return target_choice{chosen->vm, chosen->epoch, chosen->address, chosen->port};
--- a/soak/fault_proxy.cpp
+++ b/soak/fault_proxy.cpp
@@ -162,7 +162,7 @@
 
 void fault_proxy::drop(const link* ended) {
     // Not from inside the link's own callback.
-    m_loop.post([this, ended, alive = m_lifetime.watch()] {
+    m_loop.post([this, ended, alive = m_lifetime.weak_token()] {
         if (!alive.expired()) {
             m_links.remove_if([&](const auto& item) { return item.get() == ended; });
         }
--- a/telemetry/event_log.cpp
+++ b/telemetry/event_log.cpp
@@ -19,19 +19,19 @@
 
 namespace {
 
-event_level least_level = event_level::info;
+event_level configured_min_level = event_level::info;
 std::string process_name = "siskinpaddle";
 
-const event_entry& entry_for(event_id id) {
-    for (const event_entry& entry : event_catalogue) {
-        if (entry.id == id) {
-            return entry;
+const event_definition& definition_of(event_id id) {
+    for (const event_definition& definition : event_catalogue) {
+        if (definition.id == id) {
+            return definition;
         }
     }
     return event_catalogue.front();
 }
 
-std::string quoted(const std::string& value) {
+std::string quote_if_needed(const std::string& value) {
     if (!value.empty() && value.find_first_of(" \"\n\r\t") == std::string::npos) {
         return value;
     }
@@ -45,15 +45,15 @@
     return text + "\"";
 }
 
-std::string wall_time() {
+std::string format_wall_time() {
     const auto now = std::chrono::system_clock::now();
     const std::time_t seconds = std::chrono::system_clock::to_time_t(now);
     const auto ms =
         std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch()).count() % 1000;
-    std::tm parts{};
-    gmtime_r(&seconds, &parts);
+    std::tm utc{};
+    gmtime_r(&seconds, &utc);
     std::array<char, 32> text{};
-    const std::size_t length = std::strftime(text.data(), text.size(), "%FT%T", &parts);
+    const std::size_t length = std::strftime(text.data(), text.size(), "%FT%T", &utc);
     const std::string fraction = std::to_string(1000 + ms);
     return std::string(text.data(), length) + "." + fraction.substr(1) + "Z";
 }
@@ -70,7 +70,7 @@
 
     void consume(const boost::log::record_view&, const string_type& line) { m_writer.write(line); }
     void flush() { m_writer.flush(); }
-    [[nodiscard]] std::uint64_t take_dropped() { return m_writer.take_dropped(); }
+    [[nodiscard]] std::uint64_t reset_dropped_count() { return m_writer.reset_dropped_count(); }
 
   private:
     line_writer m_writer;
@@ -82,9 +82,9 @@
 
 } // namespace
 
-void start_event_log(std::string_view process, event_level least, int descriptor) {
+void start_event_log(std::string_view process, event_level min_level, int descriptor) {
     process_name = process;
-    least_level = least;
+    configured_min_level = min_level;
     active_sink = boost::make_shared<line_sink>(boost::make_shared<line_backend>(descriptor));
     active_sink->set_formatter(boost::log::expressions::stream << boost::log::expressions::smessage);
     boost::log::core::get()->remove_all_sinks();
@@ -96,7 +96,7 @@
     if (active_sink == nullptr) {
         return;
     }
-    const std::uint64_t dropped = active_sink->locked_backend()->take_dropped();
+    const std::uint64_t dropped = active_sink->locked_backend()->reset_dropped_count();
     if (dropped > 0) {
         log_event(event_id::log_lines_dropped, {{"lines", dropped}});
     }
@@ -104,14 +104,15 @@
 }
 
 void log_event(event_id id, std::initializer_list<event_field> fields) {
-    const event_entry& entry = entry_for(id);
-    if (entry.level < least_level) {
+    const event_definition& definition = definition_of(id);
+    if (definition.level < configured_min_level) {
         return;
     }
-    std::string line = wall_time() + " " + std::string(name_of(entry.level)) + " " + process_name + " " +
-                       std::to_string(static_cast<int>(id)) + " " + std::string(entry.name);
+    std::string line = format_wall_time() + " " + std::string(name_of(definition.level)) + " " +
+                       process_name + " " + std::to_string(static_cast<int>(id)) + " " +
+                       std::string(definition.name);
     for (const event_field& field : fields) {
-        line += " " + std::string(field.name) + "=" + quoted(field.value);
+        line += " " + std::string(field.name) + "=" + quote_if_needed(field.value);
     }
     static boost::log::sources::logger_mt logger;
     BOOST_LOG(logger) << line;
--- a/telemetry/event_log.hpp
+++ b/telemetry/event_log.hpp
@@ -24,7 +24,7 @@
 
 /// Sends events to `descriptor` (standard output), one line each, from `least` upwards. Never waits for the
 /// reader. Call before any thread logs; a second call replaces the first.
-void start_event_log(std::string_view process, event_level least, int descriptor = 1);
+void start_event_log(std::string_view process, event_level min_level, int descriptor = 1);
 
 /// Writes what was collected; call now and then, since lines that come together are written together, and the
 /// last ones wait for the next.
--- a/telemetry/line_writer.cpp
+++ b/telemetry/line_writer.cpp
@@ -18,35 +18,35 @@
 } // namespace
 
 void line_writer::write(std::string_view line) {
-    if (m_kept.size() + line.size() + 1 > most_kept) {
+    if (m_buffer.size() + line.size() + 1 > max_buffered_bytes) {
         ++m_dropped;
         flush();
         return;
     }
-    m_kept += line;
-    m_kept += '\n';
-    if (m_kept.size() >= PIPE_BUF || std::chrono::steady_clock::now() - m_flushed_at >= collect_time) {
+    m_buffer += line;
+    m_buffer += '\n';
+    if (m_buffer.size() >= PIPE_BUF || std::chrono::steady_clock::now() - m_last_flush_at >= coalesce_delay) {
         flush();
     }
 }
 
 bool line_writer::flush() {
-    m_flushed_at = std::chrono::steady_clock::now();
+    m_last_flush_at = std::chrono::steady_clock::now();
     std::size_t written = 0;
     // A pipe that polls as writable takes PIPE_BUF bytes without blocking, and no more for certain.
-    while (written < m_kept.size() && can_write(m_descriptor)) {
-        const std::size_t size = std::min<std::size_t>(PIPE_BUF, m_kept.size() - written);
-        const ssize_t count = ::write(m_descriptor, m_kept.data() + written, size);
+    while (written < m_buffer.size() && can_write(m_descriptor)) {
+        const std::size_t size = std::min<std::size_t>(PIPE_BUF, m_buffer.size() - written);
+        const ssize_t count = ::write(m_descriptor, m_buffer.data() + written, size);
         if (count <= 0) {
             break;
         }
         written += static_cast<std::size_t>(count);
     }
-    m_kept.erase(0, written);
-    return m_kept.empty();
+    m_buffer.erase(0, written);
+    return m_buffer.empty();
 }
 
-std::uint64_t line_writer::take_dropped() {
+std::uint64_t line_writer::reset_dropped_count() {
     return std::exchange(m_dropped, 0);
 }
 
--- a/telemetry/line_writer.hpp
+++ b/telemetry/line_writer.hpp
@@ -20,18 +20,18 @@
     bool flush();
 
     /// Lines dropped since the last call.
-    [[nodiscard]] std::uint64_t take_dropped();
+    [[nodiscard]] std::uint64_t reset_dropped_count();
 
     /// Lines that come within this are written with one call.
-    static constexpr std::chrono::milliseconds collect_time{20};
+    static constexpr std::chrono::milliseconds coalesce_delay{20};
     /// Kept for a slow reader: some seconds of a busy node, small against the memory of the smallest machine.
-    static constexpr std::size_t most_kept = 256U << 10U;
+    static constexpr std::size_t max_buffered_bytes = 256U << 10U;
 
   private:
     int m_descriptor;
-    std::string m_kept;
+    std::string m_buffer;
     std::uint64_t m_dropped = 0;
-    std::chrono::steady_clock::time_point m_flushed_at;
+    std::chrono::steady_clock::time_point m_last_flush_at;
 };
 
 } // namespace siskinpaddle
--- a/telemetry/metrics.cpp
+++ b/telemetry/metrics.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-struct metrics::latency {
+struct metrics::latency_histogram {
     decltype(make_buckets()) buckets = make_buckets();
     std::uint64_t count = 0;
 };
@@ -30,30 +30,30 @@
 }
 
 void metrics::observe(const std::string& name, double ms) {
-    std::unique_ptr<latency>& item = m_latencies[name];
+    std::unique_ptr<latency_histogram>& item = m_histograms[name];
     if (item == nullptr) {
-        item = std::make_unique<latency>();
+        item = std::make_unique<latency_histogram>();
     }
     item->buckets(ms);
     ++item->count;
 }
 
 double metrics::quantile(const std::string& name, double q) const {
-    const auto found = m_latencies.find(name);
-    if (found == m_latencies.end() || found->second->count == 0) {
+    const auto found = m_histograms.find(name);
+    if (found == m_histograms.end() || found->second->count == 0) {
         return 0;
     }
-    const double wanted = q * static_cast<double>(found->second->count);
-    double below = 0;
-    double edge = 0;
+    const double rank = q * static_cast<double>(found->second->count);
+    double cumulative = 0;
+    double upper_edge = 0;
     for (auto&& bucket : boost::histogram::indexed(found->second->buckets, boost::histogram::coverage::all)) {
-        below += *bucket;
-        edge = bucket.bin().upper();
-        if (below >= wanted) {
+        cumulative += *bucket;
+        upper_edge = bucket.bin().upper();
+        if (cumulative >= rank) {
             break;
         }
     }
-    return edge;
+    return upper_edge;
 }
 
 std::string metrics::to_text() const {
@@ -61,13 +61,13 @@
     for (const auto& [name, value] : m_counters) {
         text << "siskinpaddle_" << name << " " << value << "\n";
     }
-    for (const auto& [name, item] : m_latencies) {
-        double below = 0;
+    for (const auto& [name, item] : m_histograms) {
+        double cumulative = 0;
         for (auto&& bucket : boost::histogram::indexed(item->buckets, boost::histogram::coverage::all)) {
-            below += *bucket;
+            cumulative += *bucket;
             if (*bucket > 0) {
                 text << "siskinpaddle_" << name << "_ms_bucket{le=\"" << bucket.bin().upper() << "\"} "
-                     << below << "\n";
+                     << cumulative << "\n";
             }
         }
         text << "siskinpaddle_" << name << "_ms_count " << item->count << "\n";
--- a/telemetry/metrics.hpp
+++ b/telemetry/metrics.hpp
@@ -15,7 +15,7 @@
     metrics(const metrics&) = delete;
     metrics& operator=(const metrics&) = delete;
 
-    void count(const std::string& name, std::uint64_t by = 1) { m_counters[name] += by; }
+    void increment(const std::string& name, std::uint64_t amount = 1) { m_counters[name] += amount; }
     void set(const std::string& name, std::uint64_t value) { m_counters[name] = value; }
     [[nodiscard]] std::uint64_t counter(const std::string& name) const;
 
@@ -29,10 +29,10 @@
     [[nodiscard]] std::string to_text() const;
 
   private:
-    struct latency;
+    struct latency_histogram;
 
     std::map<std::string, std::uint64_t> m_counters;
-    std::map<std::string, std::unique_ptr<latency>> m_latencies;
+    std::map<std::string, std::unique_ptr<latency_histogram>> m_histograms;
 };
 
 } // namespace siskinpaddle
--- a/tests/doors/door_test.cpp
+++ b/tests/doors/door_test.cpp
@@ -34,24 +34,24 @@
                                                  "\r\n\r\n",
                                                  "Content-Length: -5\r\n",
                                                  "Transfer-Encoding: chunked\r\n"};
-    const std::uint64_t changes = 1 + random.below(4);
+    const std::uint64_t changes = 1 + random.next_below(4);
     for (std::uint64_t i = 0; i < changes && !text.empty(); ++i) {
-        const std::size_t at = random.below(text.size());
-        switch (random.below(5)) {
+        const std::size_t at = random.next_below(text.size());
+        switch (random.next_below(5)) {
         case 0:
-            text[at] = static_cast<char>(random.below(256));
+            text[at] = static_cast<char>(random.next_below(256));
             break;
         case 1:
             text.resize(at);
             break;
         case 2:
-            text.insert(at, text.substr(at, random.below(40)));
+            text.insert(at, text.substr(at, random.next_below(40)));
             break;
         case 3:
-            text.insert(at, spices[random.below(spices.size())]);
+            text.insert(at, spices[random.next_below(spices.size())]);
             break;
         default:
-            text.erase(at, random.below(20));
+            text.erase(at, random.next_below(20));
             break;
         }
     }
@@ -235,7 +235,7 @@
     frame_client raw(loop);
     int failed = 0;
     raw.send(
-        {"127.0.0.1", port}, std::string(max_frame + 1, 'x'), 20s,
+        {"127.0.0.1", port}, std::string(max_frame_bytes + 1, 'x'), 20s,
         [&](stream_status status, std::string_view) { failed = status == stream_status::answered ? -1 : 1; });
     REQUIRE(loop_until(loop, [&] { return failed != 0; }));
     CHECK(failed == 1);
--- a/tests/fakes/fake_vm.cpp
+++ b/tests/fakes/fake_vm.cpp
@@ -68,7 +68,7 @@
         log("end", item->id);
         item->from->reply(200, headers, item->id + " " + item->from->body());
         // The timer is still running its own action here.
-        m_loop.post([this, alive = m_lifetime.watch(), item] {
+        m_loop.post([this, alive = m_lifetime.weak_token(), item] {
             if (!alive.expired()) {
                 m_work.erase(item);
             }
@@ -174,7 +174,7 @@
         (void)open();
     });
     // Servers are taken down outside of their own callbacks.
-    m_loop.post([this, alive = m_lifetime.watch()] {
+    m_loop.post([this, alive = m_lifetime.weak_token()] {
         if (alive.expired()) {
             return;
         }
--- a/tests/golden/session.cpp
+++ b/tests/golden/session.cpp
@@ -325,7 +325,7 @@
         }
         say(text);
         for (const finding& item : result.problems.items()) {
-            say(item.place + ": " + item.message);
+            say(item.location + ": " + item.message);
         }
         if (result.verdict == patch_verdict::accepted) {
             m_stored = result.next;
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-http_answer exchange(event_loop& loop, http_client& client, http_call call) {
+http_answer send_and_wait(event_loop& loop, http_client& client, http_call call) {
     http_answer result;
     bool ended = false;
     client.send(std::move(call), [&](http_answer answer) {
@@ -20,9 +20,9 @@
     return result;
 }
 
-http_call call_to(const endpoint& where, const std::string& method = "GET") {
+http_call make_call(const endpoint& server, const std::string& method = "GET") {
     http_call call;
-    call.to = where;
+    call.to = server;
     call.method = method;
     call.timeout = 20s;
     call.body = method == "POST" ? "body" : "";
@@ -35,7 +35,7 @@
     // A target dies half-way through its answer. The caller must never take the half for the whole: evhttp
     // itself reports a close-delimited half as a good 200.
     struct row {
-        const char* story;
+        const char* description;
         const char* answer;
         bool close;
         exchange_status status;
@@ -60,11 +60,11 @@
         {"malformed head", "what is this\r\n\r\n", true, s::reset, ""},
     };
     for (const row& r : rows) {
-        CAPTURE(r.story);
+        CAPTURE(r.description);
         event_loop loop;
         raw_server server(loop, r.answer, r.close);
         http_client client(loop);
-        const http_answer answer = exchange(loop, client, call_to(server.where()));
+        const http_answer answer = send_and_wait(loop, client, make_call(server.local_endpoint()));
         CHECK(name_of(answer.status) == name_of(r.status));
         CHECK(answer.body == r.body);
         CHECK(server.requests == 1);
@@ -74,19 +74,19 @@
 TEST_CASE("a request that reached nobody is told apart from one that may have run") {
     event_loop loop;
     http_client client(loop);
-    endpoint nobody;
+    endpoint unused_endpoint;
     {
-        raw_server gone(loop, "", true);
-        nobody = gone.where();
+        raw_server closed_server(loop, "", true);
+        unused_endpoint = closed_server.local_endpoint();
     }
-    const http_answer refused = exchange(loop, client, call_to(nobody, "POST"));
+    const http_answer refused = send_and_wait(loop, client, make_call(unused_endpoint, "POST"));
     CHECK(refused.status == exchange_status::connect_failed);
 
-    raw_server silent(loop, "", false);
-    http_call call = call_to(silent.where(), "POST");
+    raw_server unresponsive_server(loop, "", false);
+    http_call call = make_call(unresponsive_server.local_endpoint(), "POST");
     call.timeout = 300ms;
-    CHECK(exchange(loop, client, call).status == exchange_status::timed_out);
-    CHECK(silent.requests == 1);
+    CHECK(send_and_wait(loop, client, call).status == exchange_status::timed_out);
+    CHECK(unresponsive_server.requests == 1);
 }
 
 TEST_CASE("a request is never sent twice, on fresh and on kept connections") {
@@ -96,12 +96,12 @@
         CAPTURE(fresh);
         event_loop loop;
         raw_server server(loop, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false);
-        server.answers_left = 1;
+        server.remaining_answers = 1;
         http_client client(loop);
-        http_call call = call_to(server.where(), "POST");
+        http_call call = make_call(server.local_endpoint(), "POST");
         call.fresh_connection = fresh;
-        REQUIRE(exchange(loop, client, call).status == exchange_status::answered);
-        CHECK(exchange(loop, client, call).status == exchange_status::reset);
+        REQUIRE(send_and_wait(loop, client, call).status == exchange_status::answered);
+        CHECK(send_and_wait(loop, client, call).status == exchange_status::reset);
         CHECK(server.requests == 2);
     }
 }
@@ -110,26 +110,26 @@
     // The first request times out; its answer comes late. A connection that were reused would hand it to the
     // second caller, who would read another passenger's booking.
     event_loop loop;
-    std::shared_ptr<server_request> held;
+    std::shared_ptr<server_request> pending_request;
     http_server server(loop, {}, [&](const std::shared_ptr<server_request>& from) {
         if (from->target() == "/first") {
-            held = from;
+            pending_request = from;
             return;
         }
         from->reply(200, {}, "second");
     });
     REQUIRE(server.listen({"127.0.0.1", 0}));
     http_client client(loop);
-    http_call first = call_to({"127.0.0.1", server.port()});
+    http_call first = make_call({"127.0.0.1", server.port()});
     first.target = "/first";
     first.timeout = 200ms;
-    CHECK(exchange(loop, client, first).status == exchange_status::timed_out);
-    REQUIRE(held != nullptr);
-    http_call second = call_to({"127.0.0.1", server.port()});
+    CHECK(send_and_wait(loop, client, first).status == exchange_status::timed_out);
+    REQUIRE(pending_request != nullptr);
+    http_call second = make_call({"127.0.0.1", server.port()});
     second.target = "/second";
-    held->reply(200, {}, "first");
-    held.reset();
-    const http_answer answer = exchange(loop, client, second);
+    pending_request->reply(200, {}, "first");
+    pending_request.reset();
+    const http_answer answer = send_and_wait(loop, client, second);
     CHECK(answer.status == exchange_status::answered);
     CHECK(answer.body == "second");
 }
@@ -143,7 +143,7 @@
         http_client_limits limits;
         limits.max_body = 1000;
         http_client client(loop, limits);
-        const http_answer answer = exchange(loop, client, call_to(server.where()));
+        const http_answer answer = send_and_wait(loop, client, make_call(server.local_endpoint()));
         CHECK(name_of(answer.status) == "too-large");
         CHECK(answer.body.empty());
     }
@@ -151,23 +151,24 @@
 
 TEST_CASE("a server outlives a caller that hangs up before its answer") {
     event_loop loop;
-    std::shared_ptr<server_request> held;
-    http_server server(loop, {}, [&](const std::shared_ptr<server_request>& from) { held = from; });
+    std::shared_ptr<server_request> pending_request;
+    http_server server(loop, {},
+                       [&](const std::shared_ptr<server_request>& from) { pending_request = from; });
     REQUIRE(server.listen({"127.0.0.1", 0}));
     {
         http_client client(loop);
-        const std::uint64_t number =
-            client.send(call_to({"127.0.0.1", server.port()}), [](const http_answer&) {});
-        REQUIRE(loop_until(loop, [&] { return held != nullptr; }));
-        client.cancel(number);
+        const std::uint64_t call_id =
+            client.send(make_call({"127.0.0.1", server.port()}), [](const http_answer&) {});
+        REQUIRE(loop_until(loop, [&] { return pending_request != nullptr; }));
+        client.cancel(call_id);
     }
-    int ticks = 0;
-    REQUIRE(loop_until(loop, [&] { return ++ticks > 20; }));
-    held->reply(200, {}, "too late");
-    held.reset();
-    ticks = 0;
-    CHECK(loop_until(loop, [&] { return ++ticks > 20; }));
-    CHECK(server.in_progress() == 0);
+    int iterations = 0;
+    REQUIRE(loop_until(loop, [&] { return ++iterations > 20; }));
+    pending_request->reply(200, {}, "too late");
+    pending_request.reset();
+    iterations = 0;
+    CHECK(loop_until(loop, [&] { return ++iterations > 20; }));
+    CHECK(server.requests_in_progress() == 0);
 }
 
 TEST_CASE("a drained listener takes no connection and asks kept ones to close") {
@@ -177,12 +178,12 @@
     REQUIRE(server.listen({"127.0.0.1", 0}));
     const endpoint where{"127.0.0.1", server.port()};
     http_client client(loop);
-    REQUIRE(exchange(loop, client, call_to(where)).status == exchange_status::answered);
+    REQUIRE(send_and_wait(loop, client, make_call(where)).status == exchange_status::answered);
     server.drain();
-    const http_answer kept = exchange(loop, client, call_to(where));
-    CHECK(kept.status == exchange_status::answered);
-    CHECK(kept.headers.get("Connection") == "close");
-    CHECK(exchange(loop, client, call_to(where)).status == exchange_status::connect_failed);
+    const http_answer answer = send_and_wait(loop, client, make_call(where));
+    CHECK(answer.status == exchange_status::answered);
+    CHECK(answer.headers.get("Connection") == "close");
+    CHECK(send_and_wait(loop, client, make_call(where)).status == exchange_status::connect_failed);
 }
 
 TEST_CASE("queries and headers are read as callers write them") {
@@ -208,12 +209,12 @@
         http_client client(loop);
         // On a busy machine a try may be over before its request has left; another one follows then.
         while (server.requests == 0) {
-            http_call call = call_to(server.where(), "POST");
+            http_call call = make_call(server.local_endpoint(), "POST");
             call.timeout = cancelled ? 20s : 50ms;
             bool ended = false;
-            const std::uint64_t number = client.send(call, [&](const http_answer&) { ended = true; });
+            const std::uint64_t call_id = client.send(call, [&](const http_answer&) { ended = true; });
             REQUIRE(loop_until(loop, [&] { return ended || (cancelled && server.requests == 1); }));
-            client.cancel(number);
+            client.cancel(call_id);
         }
         CHECK(loop_until(loop, [&] { return server.resets >= server.requests; }));
     }
--- a/tests/net/large_answer_test.cpp
+++ b/tests/net/large_answer_test.cpp
@@ -14,7 +14,7 @@
     // a turn: of a watch's answer of 118,709 bytes half was there when the watch was given up. It was asked
     // for again, larger each time ("watch-resumed ... after_ms=4544 failures=2").
     constexpr std::size_t body_size = 256UL * 1024;
-    constexpr int most_turns =
+    constexpr int max_iterations =
         32; // The server writes 16 KB in a turn: 16 turns, and some to connect and to ask.
     event_loop loop;
     raw_server server(loop,
@@ -22,16 +22,16 @@
                           std::string(body_size, 'x'),
                       false);
     http_client client(loop);
-    int turns = 0;
-    std::unique_ptr<timer> each_turn;
-    each_turn = loop.make_timer([&] {
-        ++turns;
+    int iterations = 0;
+    std::unique_ptr<timer> iteration_timer;
+    iteration_timer = loop.make_timer([&] {
+        ++iterations;
         std::this_thread::sleep_for(2ms); // Long enough that what was written in a turn is there in the next.
-        each_turn->start(0ms);
+        iteration_timer->start(0ms);
     });
-    each_turn->start(0ms);
+    iteration_timer->start(0ms);
     http_call call;
-    call.to = server.where();
+    call.to = server.local_endpoint();
     call.method = "GET";
     call.timeout = 20s;
     http_answer answer;
@@ -43,5 +43,5 @@
     REQUIRE(loop_until(loop, [&] { return ended; }));
     CHECK(answer.status == exchange_status::answered);
     CHECK(answer.body.size() == body_size);
-    CHECK(turns <= most_turns);
+    CHECK(iterations <= max_iterations);
 }
--- a/tests/net/large_request_test.cpp
+++ b/tests/net/large_request_test.cpp
@@ -11,7 +11,7 @@
     // node whose loop takes 150 to 200 ms a turn. A server's connections read 4 KB in a turn: a job of 64 KB
     // is read for three seconds, the entry gives its owner up after 0.9 s and leaves the job in the inbox.
     constexpr std::size_t body_size = 256UL * 1024;
-    constexpr int most_turns = 32; // The client writes 16 KB in a turn: 16 turns, and some to connect.
+    constexpr int max_iterations = 32; // The client writes 16 KB in a turn: 16 turns, and some to connect.
     event_loop loop;
     std::size_t received = 0;
     http_server server(loop, {.max_body = 1U << 20U}, [&](const std::shared_ptr<server_request>& request) {
@@ -20,14 +20,14 @@
     });
     REQUIRE(server.listen({"127.0.0.1", 0}));
     http_client client(loop);
-    int turns = 0;
-    std::unique_ptr<timer> each_turn;
-    each_turn = loop.make_timer([&] {
-        ++turns;
+    int iterations = 0;
+    std::unique_ptr<timer> iteration_timer;
+    iteration_timer = loop.make_timer([&] {
+        ++iterations;
         std::this_thread::sleep_for(2ms); // Long enough that what was written in a turn is there in the next.
-        each_turn->start(0ms);
+        iteration_timer->start(0ms);
     });
-    each_turn->start(0ms);
+    iteration_timer->start(0ms);
     http_call call;
     call.to = {"127.0.0.1", server.port()};
     call.method = "POST";
@@ -37,5 +37,5 @@
     client.send(std::move(call), [&](const http_answer&) { ended = true; });
     REQUIRE(loop_until(loop, [&] { return ended; }));
     CHECK(received == body_size);
-    CHECK(turns <= most_turns);
+    CHECK(iterations <= max_iterations);
 }
--- a/tests/net/loop_clock_test.cpp
+++ b/tests/net/loop_clock_test.cpp
@@ -11,12 +11,12 @@
     event_loop loop;
     loop_clock clock(loop);
     CHECK(clock.read(event_loop::now()) == 0ms);
-    const timestamp began = event_loop::now();
-    clock.run();
-    REQUIRE(loop_until(loop, [&] { return event_loop::now() - began >= 600ms; }));
-    const milliseconds passed = clock.read(event_loop::now());
-    CHECK(passed <= event_loop::now() - began);
-    CHECK(passed >= 400ms); // Each tick may come a little late.
+    const timestamp started_at = event_loop::now();
+    clock.start();
+    REQUIRE(loop_until(loop, [&] { return event_loop::now() - started_at >= 600ms; }));
+    const milliseconds elapsed = clock.read(event_loop::now());
+    CHECK(elapsed <= event_loop::now() - started_at);
+    CHECK(elapsed >= 400ms); // Each tick may come a little late.
 }
 
 TEST_CASE("time that a handler takes counts as one tick, however long it is") {
@@ -24,7 +24,7 @@
     // answer lay unread in the socket all the while.
     event_loop loop;
     loop_clock clock(loop);
-    clock.run();
+    clock.start();
     loop.post([] { std::this_thread::sleep_for(1s); });
     REQUIRE(loop_until(loop, [&] { return clock.read(event_loop::now()) >= loop_clock::tick; }));
     CHECK(clock.read(event_loop::now()) <= 3 * loop_clock::tick);
@@ -33,13 +33,13 @@
 TEST_CASE("the loop's clock stands still while it rests") {
     event_loop loop;
     loop_clock clock(loop);
-    clock.run();
+    clock.start();
     REQUIRE(loop_until(loop, [&] { return clock.read(event_loop::now()) >= 100ms; }));
-    clock.rest();
-    const milliseconds passed = clock.read(event_loop::now());
-    const timestamp rested = event_loop::now();
-    REQUIRE(loop_until(loop, [&] { return event_loop::now() - rested >= 200ms; }));
-    CHECK(clock.read(event_loop::now()) == passed);
-    clock.run();
-    REQUIRE(loop_until(loop, [&] { return clock.read(event_loop::now()) > passed; }));
+    clock.stop();
+    const milliseconds elapsed = clock.read(event_loop::now());
+    const timestamp stopped_at = event_loop::now();
+    REQUIRE(loop_until(loop, [&] { return event_loop::now() - stopped_at >= 200ms; }));
+    CHECK(clock.read(event_loop::now()) == elapsed);
+    clock.start();
+    REQUIRE(loop_until(loop, [&] { return clock.read(event_loop::now()) > elapsed; }));
 }
--- a/tests/net/loop_until.hpp
+++ b/tests/net/loop_until.hpp
@@ -9,14 +9,14 @@
 /// Runs the loop until `condition` holds, which is asked between turns and may run the loop itself. Returns
 /// false when a generous bound passes first, which only a fault or a stuck machine reaches: no check depends
 /// on how fast things are.
-inline bool loop_until(event_loop& loop, const std::function<bool()>& condition, milliseconds bound = 60s) {
-    const timestamp limit = event_loop::now() + bound;
-    const std::unique_ptr<timer> turn = loop.make_timer([&loop] { loop.stop(); });
+inline bool loop_until(event_loop& loop, const std::function<bool()>& condition, milliseconds timeout = 60s) {
+    const timestamp deadline = event_loop::now() + timeout;
+    const std::unique_ptr<timer> poll_timer = loop.make_timer([&loop] { loop.stop(); });
     while (!condition()) {
-        if (event_loop::now() > limit) {
+        if (event_loop::now() > deadline) {
             return false;
         }
-        turn->start(2ms);
+        poll_timer->start(2ms);
         loop.run();
     }
     return true;
--- a/tests/net/raw_server.hpp
+++ b/tests/net/raw_server.hpp
@@ -31,13 +31,13 @@
     raw_server(const raw_server&) = delete;
     raw_server& operator=(const raw_server&) = delete;
     ~raw_server() {
-        for (bufferevent* item : m_open) {
+        for (bufferevent* item : m_connections) {
             bufferevent_free(item);
         }
         evconnlistener_free(m_listener);
     }
 
-    [[nodiscard]] endpoint where() const {
+    [[nodiscard]] endpoint local_endpoint() const {
         sockaddr_in bound{};
         socklen_t size = sizeof(bound);
         getsockname(evconnlistener_get_fd(m_listener), reinterpret_cast<sockaddr*>(&bound), &size);
@@ -45,8 +45,8 @@
     }
 
     /// Sends more on all open connections.
-    void send_more(const std::string& bytes) {
-        for (bufferevent* item : m_open) {
+    void send_to_all(const std::string& bytes) {
+        for (bufferevent* item : m_connections) {
             bufferevent_write(item, bytes.data(), bytes.size());
         }
     }
@@ -55,25 +55,25 @@
     int resets = 0;   ///< Connections that the client reset ...
     int closes = 0;   ///< ... or closed in order, so that all it ever sent still arrives.
     /// Connections after this many are closed at the first byte without an answer; -1: never.
-    int answers_left = -1;
+    int remaining_answers = -1;
 
   private:
     void accept(int socket) {
         bufferevent* item = bufferevent_socket_new(m_loop.base(), socket, BEV_OPT_CLOSE_ON_FREE);
-        m_open.push_back(item);
+        m_connections.push_back(item);
         bufferevent_setcb(
             item, [](bufferevent* ready, void* self) { static_cast<raw_server*>(self)->read(ready); },
             [](bufferevent* flushed, void* self) {
                 auto* server = static_cast<raw_server*>(self);
                 if (server->m_close_after && server->requests > 0) {
-                    server->drop(flushed);
+                    server->close_connection(flushed);
                 }
             },
-            [](bufferevent* ended, short what, void* self) {
+            [](bufferevent* ended, short events, void* self) {
                 auto* server = static_cast<raw_server*>(self);
-                const bool reset = (what & BEV_EVENT_ERROR) != 0 || has_error(bufferevent_getfd(ended));
+                const bool reset = (events & BEV_EVENT_ERROR) != 0 || has_error(bufferevent_getfd(ended));
                 reset ? ++server->resets : ++server->closes;
-                server->drop(ended);
+                server->close_connection(ended);
             },
             this);
         bufferevent_enable(item, EV_READ | EV_WRITE);
@@ -88,13 +88,13 @@
         }
         evbuffer_drain(input, text.size());
         ++requests;
-        if (answers_left == 0) {
-            drop(item);
+        if (remaining_answers == 0) {
+            close_connection(item);
             return;
         }
-        answers_left -= answers_left > 0 ? 1 : 0;
+        remaining_answers -= remaining_answers > 0 ? 1 : 0;
         if (m_answer.empty() && m_close_after) {
-            drop(item);
+            close_connection(item);
             return;
         }
         bufferevent_write(item, m_answer.data(), m_answer.size());
@@ -107,8 +107,8 @@
         return getsockopt(socket, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error != 0;
     }
 
-    void drop(bufferevent* item) {
-        std::erase(m_open, item);
+    void close_connection(bufferevent* item) {
+        std::erase(m_connections, item);
         bufferevent_free(item);
     }
 
@@ -116,7 +116,7 @@
     std::string m_answer;
     bool m_close_after;
     evconnlistener* m_listener = nullptr;
-    std::vector<bufferevent*> m_open;
+    std::vector<bufferevent*> m_connections;
 };
 
 } // namespace siskinpaddle::tests
--- a/tests/net/slow_answer_test.cpp
+++ b/tests/net/slow_answer_test.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-struct slow_answer {
-    const char* story;
-    int parts; ///< That come, of ten.
-    milliseconds longest;
+struct slow_answer_case {
+    const char* description;
+    int sent_parts; ///< That come, of ten.
+    milliseconds max_duration;
     exchange_status status;
 };
 
-constexpr int all_parts = 10;
-constexpr milliseconds between_parts = 100ms;
+constexpr int total_parts = 10;
+constexpr milliseconds part_interval = 100ms;
 constexpr milliseconds timeout = 500ms;
 
 } // namespace
@@ -27,33 +27,33 @@
     // read the accepted jobs, 340 KB over a link of 2 Mbit/s, and each time gave the page up after 1.5 s,
     // with most of it there, and asked for it again.
     using s = exchange_status;
-    const std::vector<slow_answer> rows{
-        {"goes on arriving", all_parts, 10s, s::answered},
-        {"stops half-way", all_parts / 2, 10s, s::timed_out},
-        {"arrives too slowly in all", all_parts, 700ms, s::timed_out},
-        {"no such allowance", all_parts, 0ms, s::timed_out},
+    const std::vector<slow_answer_case> rows{
+        {"goes on arriving", total_parts, 10s, s::answered},
+        {"stops half-way", total_parts / 2, 10s, s::timed_out},
+        {"arrives too slowly in all", total_parts, 700ms, s::timed_out},
+        {"no such allowance", total_parts, 0ms, s::timed_out},
     };
-    for (const slow_answer& row : rows) {
-        CAPTURE(row.story);
+    for (const slow_answer_case& row : rows) {
+        CAPTURE(row.description);
         event_loop loop;
         raw_server server(
-            loop, "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(all_parts) + "\r\n\r\n", false);
+            loop, "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(total_parts) + "\r\n\r\n", false);
         http_client client(loop);
         http_call call;
-        call.to = server.where();
+        call.to = server.local_endpoint();
         call.timeout = timeout;
-        call.longest = row.longest;
+        call.max_duration = row.max_duration;
         std::optional<http_answer> answer;
         client.send(std::move(call), [&](http_answer result) { answer = std::move(result); });
         int sent = 0;
-        std::unique_ptr<timer> next;
-        next = loop.make_timer([&] {
-            if (sent++ < row.parts) {
-                server.send_more("x");
-                next->start(between_parts);
+        std::unique_ptr<timer> part_timer;
+        part_timer = loop.make_timer([&] {
+            if (sent++ < row.sent_parts) {
+                server.send_to_all("x");
+                part_timer->start(part_interval);
             }
         });
-        next->start(between_parts);
+        part_timer->start(part_interval);
         REQUIRE(loop_until(loop, [&] { return answer.has_value(); }));
         CHECK(name_of(answer->status) == name_of(row.status));
     }
--- a/tests/platform/records_test.cpp
+++ b/tests/platform/records_test.cpp
@@ -170,7 +170,7 @@
         findings problems;
         static_cast<void>(decode_job(item.body, "i", "q", problems));
         REQUIRE_FALSE(problems.empty());
-        CHECK(problems.items().front().place == item.place);
+        CHECK(problems.items().front().location == item.place);
     }
 }
 
--- a/tests/policy/patch_test.cpp
+++ b/tests/policy/patch_test.cpp
@@ -84,7 +84,7 @@
     REQUIRE(result.verdict == patch_verdict::invalid);
     std::vector<std::string> places;
     for (const finding& item : result.problems.items()) {
-        places.push_back(item.place);
+        places.push_back(item.location);
     }
     for (const char* place :
          {"/pools/k/slots", "/pools/k/x", "/pools/n/promised", "/pools/n/member", "/routes/kr/prefix"}) {
--- a/tests/telemetry/telemetry_test.cpp
+++ b/tests/telemetry/telemetry_test.cpp
@@ -31,10 +31,10 @@
     }
     std::set<std::string> expected;
     std::set<int> numbers;
-    for (const event_entry& entry : event_catalogue) {
-        CHECK(numbers.insert(static_cast<int>(entry.id)).second);
-        expected.insert(std::to_string(static_cast<int>(entry.id)) + " " + std::string(entry.name) + " " +
-                        std::string(name_of(entry.level)));
+    for (const event_definition& definition : event_catalogue) {
+        CHECK(numbers.insert(static_cast<int>(definition.id)).second);
+        expected.insert(std::to_string(static_cast<int>(definition.id)) + " " + std::string(definition.name) +
+                        " " + std::string(name_of(definition.level)));
     }
     CHECK(lines == expected);
 }
@@ -49,7 +49,7 @@
     CHECK(m.quantile("x", 0.5) <= 650);
     CHECK(m.quantile("x", 0.99) >= 990);
     CHECK(m.quantile("x", 0.99) <= 1300);
-    m.count("requests", 3);
+    m.increment("requests", 3);
     CHECK(m.to_text().find("siskinpaddle_requests 3\n") != std::string::npos);
     CHECK(m.to_text().find("siskinpaddle_x_ms_count 1000\n") != std::string::npos);
 }
@@ -57,29 +57,29 @@
 TEST_CASE("a log reader that stops reading never holds the process up") {
     // All jobs of a pool stop: whatever collects its owner's log stalls, the pipe fills, and the next line
     // blocks the process until its lease has run out.
-    int ends[2] = {-1, -1};
-    REQUIRE(pipe(ends) == 0);
-    line_writer writer(ends[1]);
+    int pipe_ends[2] = {-1, -1};
+    REQUIRE(pipe(pipe_ends) == 0);
+    line_writer writer(pipe_ends[1]);
     const std::string line(200, 'x');
-    const std::size_t lines = 3 * line_writer::most_kept / line.size();
+    const std::size_t lines = 3 * line_writer::max_buffered_bytes / line.size();
     for (std::size_t i = 0; i < lines; ++i) {
         writer.write(line);
     }
     CHECK_FALSE(writer.flush());
-    const std::uint64_t dropped = writer.take_dropped();
+    const std::uint64_t dropped = writer.reset_dropped_count();
     CHECK(dropped > 0);
     CHECK(dropped < lines);
 
     std::size_t received = 0;
     std::string buffer(64U << 10U, ' ');
     for (int i = 0; i < 100; ++i) {
-        const bool all = writer.flush();
-        received += static_cast<std::size_t>(read(ends[0], buffer.data(), buffer.size()));
-        if (all && received == (lines - dropped) * (line.size() + 1)) {
+        const bool is_flushed = writer.flush();
+        received += static_cast<std::size_t>(read(pipe_ends[0], buffer.data(), buffer.size()));
+        if (is_flushed && received == (lines - dropped) * (line.size() + 1)) {
             break;
         }
     }
     CHECK(received == (lines - dropped) * (line.size() + 1));
-    close(ends[0]);
-    close(ends[1]);
+    close(pipe_ends[0]);
+    close(pipe_ends[1]);
 }
--- a/trial/platform_client.cpp
+++ b/trial/platform_client.cpp
@@ -151,7 +151,7 @@
 void platform_client::update_write(const std::shared_ptr<update_state>& state) {
     std::optional<std::string> next = state->change(state->current);
     if (!next) {
-        m_loop.post([state, alive = m_lifetime.watch()] {
+        m_loop.post([state, alive = m_lifetime.weak_token()] {
             if (!alive.expired()) {
                 state->done({store_status::ok, state->current});
             }
@@ -175,7 +175,7 @@
     }
     // Jitter keeps the writers of one key, which all lost to the same swap, from meeting again.
     const milliseconds bound = std::min(longest_backoff, first_backoff * (1 << std::min(state->attempts, 6)));
-    const milliseconds delay(1 + m_random.below(static_cast<std::uint64_t>(bound.count())));
+    const milliseconds delay(1 + m_random.next_below(static_cast<std::uint64_t>(bound.count())));
     state->backoff = m_loop.make_timer([this, state] { update_read(state); });
     state->backoff->start(failure == store_status::conflict && state->attempts == 1 ? 1ms : delay);
 }
