--- a/node/configuration_task.cpp
+++ b/node/configuration_task.cpp
@@ -61,7 +61,7 @@
     m_waves[wave->number] = *wave;
     log_event(event_id::wave_seen, {{"wave", wave->number},
                                     {"machines", wave->machines.size()},
-                                    {"at_once", wave->at_once},
+                                    {"at_once", wave->max_concurrent},
                                     {"duration_ms", wave->duration.count()}});
     m_on_change();
 }
--- a/node/configuration_task.hpp
+++ b/node/configuration_task.hpp
@@ -22,7 +22,7 @@
 
     [[nodiscard]] const jobs::fleet_configuration& current() const noexcept { return m_current; }
     [[nodiscard]] bool known() const noexcept { return m_current.version > 0; }
-    [[nodiscard]] const std::map<std::int64_t, platform::upkeep_wave>& waves() const noexcept {
+    [[nodiscard]] const std::map<std::int64_t, platform::maintenance_wave>& waves() const noexcept {
         return m_waves;
     }
 
@@ -37,7 +37,7 @@
     std::int64_t m_heard_version = 0; ///< Newest that a peer has named.
     bool m_behind = false;            ///< A peer has named a newer version; the timer runs.
     jobs::fleet_configuration m_current;
-    std::map<std::int64_t, platform::upkeep_wave> m_waves;
+    std::map<std::int64_t, platform::maintenance_wave> m_waves;
     watch_task m_watch;
 };
 
--- a/node/fleet_task.cpp
+++ b/node/fleet_task.cpp
@@ -67,7 +67,7 @@
         wave& item = m_waves[number];
         item.state.number = number;
         item.state.machines = wanted.machines;
-        item.state.at_once = wanted.at_once;
+        item.state.at_once = wanted.max_concurrent;
         if (!item.loaded) {
             load(number);
         }
@@ -138,7 +138,7 @@
                 return;
             }
             m_timer->start(std::max(0ms, m_round_began_at + round_interval - event_loop::now()));
-            if (!list.good) {
+            if (!list.is_complete) {
                 log_event(event_id::machines_unknown, {{"round", round}});
                 return;
             }
--- a/node/fleet_upkeep.cpp
+++ b/node/fleet_upkeep.cpp
@@ -28,7 +28,7 @@
         item.vm = info.incarnation;
         item.up =
             info.phase == platform::machine_phase::up && !m_moves.contains(name) && !m_recent.contains(name);
-        item.in_upkeep = info.phase == platform::machine_phase::upkeep || m_recent.contains(name);
+        item.in_upkeep = info.phase == platform::machine_phase::maintenance || m_recent.contains(name);
         const bool off = info.pool == spare_pool();
         item.idle = off || m_empty_vms.contains(info.incarnation);
         item.quiet = off || quiet.contains(info.incarnation);
@@ -105,7 +105,7 @@
 }
 
 void fleet_task::order_upkeep(std::int64_t number, const std::string& machine) {
-    m_parts.machines.upkeep(
+    m_parts.machines.start_maintenance(
         {m_parts.membership.self().id, m_held.token}, machine, number,
         [this, number, machine, alive = m_lifetime.weak_token()](platform::machine_outcome outcome) {
             if (!alive.expired()) {
--- a/node/ingress_task.cpp
+++ b/node/ingress_task.cpp
@@ -385,7 +385,7 @@
                                          {"waiting", count.jobs},
                                          {"from", from},
                                          {"age_ms", (event_loop::now() - count.at).count()}});
-    platform::answer_pending(*client.request, count.jobs);
+    platform::answer_pending_count(*client.request, count.jobs);
 }
 
 } // namespace siskinpaddle::node
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -274,10 +274,10 @@
 }
 
 std::string node::metrics_text() {
-    for (const auto& [kind, calls] : m_store.calls()) {
+    for (const auto& [kind, calls] : m_store.call_counts()) {
         m_counters.set("store_calls_" + kind, calls);
     }
-    const milliseconds silence = m_store.silent_for(event_loop::now());
+    const milliseconds silence = m_store.unresponsive_for(event_loop::now());
     m_counters.set("store_unanswered_ms", static_cast<std::uint64_t>(silence.count()));
     m_counters.set("configuration_version", static_cast<std::uint64_t>(m_configuration.current().version));
     m_counters.set("loop_lag_ms",
--- a/node/pool_renewals.cpp
+++ b/node/pool_renewals.cpp
@@ -59,13 +59,13 @@
         wait = m_scheduler.wants_close_look(vm) ? close_look_wait : renewal_wait;
     }
     const std::int64_t deadline = m_scheduler.renewal_deadline(vm, event_loop::now());
-    m_parts.vms.renew(state.info(), m_held.token, deadline, state.acknowledged, wait,
-                      [this, vm, token = m_held.token,
-                       alive = m_lifetime.weak_token()](const platform::renewal_answer& answer) {
-                          if (!alive.expired()) {
-                              renewed(vm, answer, token);
-                          }
-                      });
+    m_parts.vms.renew_lease(state.info(), m_held.token, deadline, state.acknowledged, wait,
+                            [this, vm, token = m_held.token,
+                             alive = m_lifetime.weak_token()](const platform::renewal_answer& answer) {
+                                if (!alive.expired()) {
+                                    renewed(vm, answer, token);
+                                }
+                            });
 }
 
 void pool_task::renewed(const std::string& vm, const platform::renewal_answer& answer, std::int64_t token) {
--- a/node/pool_takeover.cpp
+++ b/node/pool_takeover.cpp
@@ -41,7 +41,7 @@
                                     m_loaded_progress[id] = progress.value();
                                 }
                             }
-                            if (answer.more && !answer.items.empty()) {
+                            if (answer.has_more && !answer.items.empty()) {
                                 load_progress(answer.items.back().key);
                             } else {
                                 load_jobs({});
@@ -76,7 +76,7 @@
                                         progress.empty() ? std::nullopt : std::optional(progress.mapped()),
                                         accepted_at(record.value().accepted_ms));
             }
-            if (answer.more && !answer.items.empty()) {
+            if (answer.has_more && !answer.items.empty()) {
                 load_jobs(answer.items.back().key);
             } else {
                 load_vms();
--- a/node/pool_task.cpp
+++ b/node/pool_task.cpp
@@ -265,7 +265,7 @@
 void pool_task::send_start(const jobs::start_order& order) {
     const auto vm = m_scheduler.vms().find(order.vm);
     const jobs::job_state* job = m_scheduler.find_job(order.task.job);
-    m_parts.vms.start(
+    m_parts.vms.start_run(
         vm->second.info(), m_held.token, order, job->spec().payload,
         [this, order, token = m_held.token,
          alive = m_lifetime.weak_token()](const platform::order_answer& answer) {
@@ -285,15 +285,15 @@
     if (vm == m_scheduler.vms().end()) {
         return;
     }
-    m_parts.vms.stop(vm->second.info(), m_held.token, order,
-                     [this, order, token = m_held.token,
-                      alive = m_lifetime.weak_token()](const platform::order_answer& answer) {
-                         if (!alive.expired()) {
-                             m_scheduler.stop_answered(order, answer.outcome, answer.clock_ms,
-                                                       event_loop::now());
-                             check_answer(order.vm, answer.outcome, "stop", order.task, order.attempt, token);
-                         }
-                     });
+    m_parts.vms.stop_run(
+        vm->second.info(), m_held.token, order,
+        [this, order, token = m_held.token,
+         alive = m_lifetime.weak_token()](const platform::order_answer& answer) {
+            if (!alive.expired()) {
+                m_scheduler.stop_answered(order, answer.outcome, answer.clock_ms, event_loop::now());
+                check_answer(order.vm, answer.outcome, "stop", order.task, order.attempt, token);
+            }
+        });
 }
 
 void pool_task::send_pace(const jobs::pace_order& order) {
@@ -301,31 +301,32 @@
     if (vm == m_scheduler.vms().end()) {
         return;
     }
-    m_parts.vms.pace(vm->second.info(), m_held.token, order,
-                     [this, order, token = m_held.token,
-                      alive = m_lifetime.weak_token()](const platform::order_answer& answer) {
-                         if (!alive.expired()) {
-                             check_answer(order.vm, answer.outcome, "pace", order.task, order.attempt, token);
-                         }
-                     });
+    m_parts.vms.set_pace(vm->second.info(), m_held.token, order,
+                         [this, order, token = m_held.token,
+                          alive = m_lifetime.weak_token()](const platform::order_answer& answer) {
+                             if (!alive.expired()) {
+                                 check_answer(order.vm, answer.outcome, "pace", order.task, order.attempt,
+                                              token);
+                             }
+                         });
 }
 
 void pool_task::send_question(const jobs::advice_request& question) {
     m_parts.counters.increment("advice_questions");
-    m_parts.advice.ask(question,
-                       [this, question, alive = m_lifetime.weak_token()](const jobs::advice_answer& answer) {
-                           if (alive.expired()) {
-                               return;
-                           }
-                           log_event(event_id::advice_answered, {{"pool", m_pool},
-                                                                 {"job", question.job},
-                                                                 {"step", question.step},
-                                                                 {"asked", question.vms.size()},
-                                                                 {"approved", answer.tickets.size()},
-                                                                 {"good", static_cast<int>(answer.good)}});
-                           m_scheduler.advice_answered(question, answer, event_loop::now());
-                           decide_soon();
-                       });
+    m_parts.advice.request_advice(
+        question, [this, question, alive = m_lifetime.weak_token()](const jobs::advice_answer& answer) {
+            if (alive.expired()) {
+                return;
+            }
+            log_event(event_id::advice_answered, {{"pool", m_pool},
+                                                  {"job", question.job},
+                                                  {"step", question.step},
+                                                  {"asked", question.vms.size()},
+                                                  {"approved", answer.tickets.size()},
+                                                  {"good", static_cast<int>(answer.good)}});
+            m_scheduler.advice_answered(question, answer, event_loop::now());
+            decide_soon();
+        });
 }
 
 void pool_task::ownership_lost(const char* found_by, std::int64_t token) {
--- a/node/pool_vms.cpp
+++ b/node/pool_vms.cpp
@@ -208,7 +208,7 @@
             continue;
         }
         const bool taken_down = found->phase == platform::machine_phase::moving ||
-                                found->phase == platform::machine_phase::upkeep;
+                                found->phase == platform::machine_phase::maintenance;
         const bool elsewhere = found->pool != m_pool;
         if (taken_down || elsewhere) {
             m_scheduler.vm_gone(vm, jobs::vm_end_cause::ordered, event_loop::now());
--- a/node/store_health.hpp
+++ b/node/store_health.hpp
@@ -12,7 +12,7 @@
 /// call's timeout. Answers outages that swallow calls: each client would wait out its whole deadline and then
 /// come again.
 [[nodiscard]] inline bool store_is_failing(const platform::store_client& store, timestamp now) {
-    return store.silent_for(now) >= store_failing_after;
+    return store.unresponsive_for(now) >= store_failing_after;
 }
 
 /// The store counts as silent, not just late or losing single answers, after this long: above the interval of
@@ -23,7 +23,7 @@
 /// up: its client can still come back. Answers outages that begin in a turn of demand; while single answers
 /// are lost, the write is repeated and its client waits for the outcome.
 [[nodiscard]] inline bool store_is_silent(const platform::store_client& store, timestamp now) {
-    return store.silent_for(now) >= store_silent_after;
+    return store.unresponsive_for(now) >= store_silent_after;
 }
 
 } // namespace siskinpaddle::node
--- a/node/watch_task.cpp
+++ b/node/watch_task.cpp
@@ -45,7 +45,7 @@
         return;
     }
     if (m_waiting_watch) {
-        m_store.abandon_watch(*std::exchange(m_waiting_watch, std::nullopt));
+        m_store.cancel_watch(*std::exchange(m_waiting_watch, std::nullopt));
     }
     begin_listing();
 }
@@ -120,7 +120,7 @@
         last = item.key;
         m_listing[item.key] = item;
     }
-    if (answer.more && !last.empty()) {
+    if (answer.has_more && !last.empty()) {
         list(last, round);
         return;
     }
--- a/tests/doors/door_test.cpp
+++ b/tests/doors/door_test.cpp
@@ -274,7 +274,7 @@
             REQUIRE_FALSE(problems.empty());
         }
         if (const auto read = platform::decode_wave(mutated(wave, random))) {
-            REQUIRE(read->at_once >= 1);
+            REQUIRE(read->max_concurrent >= 1);
             REQUIRE(read->number >= 0);
             REQUIRE(read->duration >= 0ms);
         }
--- a/tests/fakes/platform_store.cpp
+++ b/tests/fakes/platform_store.cpp
@@ -134,7 +134,7 @@
                                             {wire::lease, value.lease}});
     }
     reply(request, 200,
-          {{wire::items, std::move(items)}, {wire::more, more}, {wire::store_revision, m_revision}});
+          {{wire::items, std::move(items)}, {wire::has_more, more}, {wire::store_revision, m_revision}});
 }
 
 boost::json::array platform_store::events_for(const waiting_watch& watch) const {
@@ -337,16 +337,16 @@
 void platform_store::lease(const request_handle& request) {
     const std::string path(path_of_target(request->target()));
     const std::int64_t id = std::strtoll(path.substr(path.rfind('/') + 1).c_str(), nullptr, 10);
-    if (path == wire::grant_path) {
-        const milliseconds ttl(number(boost::json::parse(request->body()).as_object(), wire::lease_time));
+    if (path == wire::grant_lease_path) {
+        const milliseconds ttl(number(boost::json::parse(request->body()).as_object(), wire::lease_ttl));
         const std::int64_t granted = m_next_lease++;
         m_leases[granted] = {event_loop::now() + ttl, ttl};
-        reply(request, 200, {{wire::lease, granted}, {wire::lease_time, ttl.count()}});
+        reply(request, 200, {{wire::lease, granted}, {wire::lease_ttl, ttl.count()}});
     } else if (!m_leases.contains(id)) {
         reply(request, 404, {});
-    } else if (path.starts_with(wire::renew_path)) {
+    } else if (path.starts_with(wire::renew_lease_path)) {
         m_leases[id].first = event_loop::now() + m_leases[id].second;
-        reply(request, 200, {{wire::lease_time, m_leases[id].second.count()}});
+        reply(request, 200, {{wire::lease_ttl, m_leases[id].second.count()}});
     } else {
         m_leases[id].first = timestamp(0);
         tick();
--- a/tests/fakes/task_vm.cpp
+++ b/tests/fakes/task_vm.cpp
@@ -139,10 +139,10 @@
     const std::string task(body.at(wire::task).as_string());
     const std::int64_t attempt = number(body, wire::attempt);
     if (number(body, wire::deadline) < clock_ms()) {
-        return wire::too_late;
+        return wire::deadline_passed;
     }
     if (attempt <= m_highest[task]) {
-        return wire::old_attempt;
+        return wire::outdated_attempt;
     }
     m_lease_until = std::max(m_lease_until, number(body, wire::deadline));
     m_highest[task] = attempt;
--- a/tests/node/fleet_test.cpp
+++ b/tests/node/fleet_test.cpp
@@ -80,7 +80,7 @@
     http_server machines(loop, {}, [&](const std::shared_ptr<server_request>& request) {
         http_headers headers;
         headers.add("Content-Type", "application/json");
-        if (request->target() == platform::wire::move_path) {
+        if (request->target() == platform::wire::machine_move_path) {
             ++moves;
             request->reply(200, headers, "{}");
             return;
--- a/tests/node/watch_test.cpp
+++ b/tests/node/watch_test.cpp
@@ -64,7 +64,7 @@
         watch.start({});
         REQUIRE(loop_until(loop, [&] { return event_loop::now() - begun > 1200ms; }));
         watch.refresh();
-        REQUIRE(loop_until(loop, [&] { return client.calls().at("range") >= row.listings; }));
-        CHECK(client.calls().at("range") == row.listings);
+        REQUIRE(loop_until(loop, [&] { return client.call_counts().at("range") >= row.listings; }));
+        CHECK(client.call_counts().at("range") == row.listings);
     }
 }
--- a/tests/platform/machine_list_test.cpp
+++ b/tests/platform/machine_list_test.cpp
@@ -21,6 +21,6 @@
         std::optional<platform::machine_list> list;
         client.list([&](platform::machine_list answer) { list = std::move(answer); });
         REQUIRE(loop_until(loop, [&] { return list.has_value(); }));
-        CHECK_FALSE(list->good);
+        CHECK_FALSE(list->is_complete);
     }
 }
--- a/tests/platform/records_test.cpp
+++ b/tests/platform/records_test.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 /// A whole registration; `field` is left out, or set to the JSON text `value`. A dot leads into an object.
-std::string registration(const std::string& field = {}, const std::string& value = {}) {
+std::string make_registration(const std::string& field = {}, const std::string& value = {}) {
     boost::json::value document = boost::json::parse(
         R"({"service":"s","address":"10.128.0.9:8080","zone":"z1","version":"v1","slots":8,"state":"draining",
         "cold_left_ms":120,"remaining_ms":1500,"machine":"m-1","capacity":{"cpu":16000,"mem_mb":32768,"gpu":2},
@@ -43,7 +43,8 @@
     return boost::json::serialize(document);
 }
 
-std::optional<jobs::vm_info> decoded(const std::string& text, const std::string& key = "servers/i-7") {
+std::optional<jobs::vm_info> decode_registration(const std::string& text,
+                                                 const std::string& key = "servers/i-7") {
     findings problems;
     auto info = decode_vm(key, text, problems);
     CHECK(info.has_value() == problems.empty());
@@ -53,7 +54,7 @@
 } // namespace
 
 TEST_CASE("a registration's fields end up where they belong") {
-    const auto vm = decoded(registration());
+    const auto vm = decode_registration(make_registration());
     REQUIRE(vm.has_value());
     CHECK(vm->incarnation == "i-7");
     CHECK(vm->machine == "m-1");
@@ -66,21 +67,21 @@
     CHECK(vm->capacity == jobs::resources{16000, 32768, 2});
     CHECK(vm->draining);
     CHECK(vm->remaining_ms == 1500);
-    CHECK_FALSE(decoded(registration("state", R"("ready")"))->draining);
-    CHECK(decoded(registration("remaining_ms"))->remaining_ms == -1);
+    CHECK_FALSE(decode_registration(make_registration("state", R"("ready")"))->draining);
+    CHECK(decode_registration(make_registration("remaining_ms"))->remaining_ms == -1);
 }
 
 TEST_CASE("a registration without the counts that are zero, or with fields of a later version, names a VM") {
     for (const std::string field :
          {"slots", "cold_left_ms", "remaining_ms", "clock_ms", "seq", "capacity.gpu"}) {
         INFO(field);
-        CHECK(decoded(registration(field)).has_value());
-        CHECK(decoded(registration(field, "0")).has_value());
-        CHECK(
-            decoded(registration(field, "120.0")).has_value()); // Whole, from a writer without whole numbers.
+        CHECK(decode_registration(make_registration(field)).has_value());
+        CHECK(decode_registration(make_registration(field, "0")).has_value());
+        CHECK(decode_registration(make_registration(field, "120.0"))
+                  .has_value()); // Whole, from a writer without whole numbers.
     }
-    CHECK(decoded(registration("speed", R"({"new":[1]})")).has_value());
-    CHECK(decoded(registration("labels", R"(["a","r1-3","later"])")).has_value());
+    CHECK(decode_registration(make_registration("speed", R"({"new":[1]})")).has_value());
+    CHECK(decode_registration(make_registration("labels", R"(["a","r1-3","later"])")).has_value());
 }
 
 TEST_CASE("an entry of another writer that is no whole registration names no VM to use") {
@@ -91,37 +92,37 @@
         std::string field;
         std::vector<std::string> values; ///< Empty text: the field is missing.
     };
-    const std::vector<std::string> no_text{"", "null", "7", "true", R"([])", R"({})", R"("")"};
-    const std::vector<std::string> no_count{"null", R"("7")", "true",  "-1",
-                                            "1.5",  R"([7])", "1e300", "18446744073709551615"};
-    const std::vector<std::string> no_size{"",   "null", R"("7")", "true",   "0",
-                                           "-1", "1.5",  "1e300",  R"([7])", "9223372036854775807"};
+    const std::vector<std::string> invalid_texts{"", "null", "7", "true", R"([])", R"({})", R"("")"};
+    const std::vector<std::string> invalid_counts{"null", R"("7")", "true",  "-1",
+                                                  "1.5",  R"([7])", "1e300", "18446744073709551615"};
+    const std::vector<std::string> invalid_sizes{"",   "null", R"("7")", "true",   "0",
+                                                 "-1", "1.5",  "1e300",  R"([7])", "9223372036854775807"};
     for (const bad_field& item : {
-             bad_field{"service", no_text},
-             bad_field{"machine", no_text},
-             bad_field{"zone", no_text},
-             bad_field{"version", no_text},
-             bad_field{"state", no_text},
+             bad_field{"service", invalid_texts},
+             bad_field{"machine", invalid_texts},
+             bad_field{"zone", invalid_texts},
+             bad_field{"version", invalid_texts},
+             bad_field{"state", invalid_texts},
              bad_field{"state", {R"("Ready")", R"("starting")", R"("ready ")"}},
-             bad_field{"address", no_text},
+             bad_field{"address", invalid_texts},
              bad_field{"address",
                        {R"("10.1.0.9")", R"("10.1.0.9:")", R"(":8080")", R"("10.1.0.9:0")",
                         R"("10.1.0.9:65536")", R"("10.1.0.9:-1")", R"("10.1.0.9:80x")", R"("10.1.0.9: 80")",
                         R"("10.1.0:8080")", R"("vm.example:8080")", R"("10.1.0.9\r\n:8080")"}},
              bad_field{"capacity", {"", "null", "7", R"("16000")", "[16000,32768,2]", "{}"}},
-             bad_field{"capacity.cpu", no_size},
-             bad_field{"capacity.mem_mb", no_size},
-             bad_field{"capacity.gpu", no_count},
+             bad_field{"capacity.cpu", invalid_sizes},
+             bad_field{"capacity.mem_mb", invalid_sizes},
+             bad_field{"capacity.gpu", invalid_counts},
              bad_field{"labels", {"", "null", R"("a")", "{}", "[]", R"(["a"])", R"([1,2])", R"(["a",null])"}},
-             bad_field{"slots", no_count},
-             bad_field{"cold_left_ms", no_count},
-             bad_field{"remaining_ms", no_count},
-             bad_field{"clock_ms", no_count},
-             bad_field{"seq", no_count},
+             bad_field{"slots", invalid_counts},
+             bad_field{"cold_left_ms", invalid_counts},
+             bad_field{"remaining_ms", invalid_counts},
+             bad_field{"clock_ms", invalid_counts},
+             bad_field{"seq", invalid_counts},
          }) {
         for (const std::string& value : item.values) {
             INFO(item.field << " = " << value);
-            CHECK_FALSE(decoded(registration(item.field, value)).has_value());
+            CHECK_FALSE(decode_registration(make_registration(item.field, value)).has_value());
         }
     }
 }
@@ -131,15 +132,15 @@
     // no text at all, or its key holds what can't stand in the header that names the VM.
     for (const std::string& text :
          {std::string(), std::string("\0\xff\xfe", 3), std::string("null"), std::string("[]"),
-          std::string("7"), std::string("{"), registration() + "x", std::string(100'000, '['),
-          registration().substr(0, 60), registration("zone", "\"z\"").insert(12, "\xc3\x28")}) {
+          std::string("7"), std::string("{"), make_registration() + "x", std::string(100'000, '['),
+          make_registration().substr(0, 60), make_registration("zone", "\"z\"").insert(12, "\xc3\x28")}) {
         INFO(text.substr(0, 80));
-        CHECK_FALSE(decoded(text).has_value());
+        CHECK_FALSE(decode_registration(text).has_value());
     }
     for (const std::string key : {"", "servers", "servers/", "op/config", "servers/i 7",
                                   "servers/i-7\r\nX: y", "servers/i/7", "servers/\xc3\xa9"}) {
         INFO(key);
-        CHECK_FALSE(decoded(registration(), key).has_value());
+        CHECK_FALSE(decode_registration(make_registration(), key).has_value());
     }
 }
 
@@ -229,7 +230,7 @@
     REQUIRE(wave.has_value());
     CHECK(wave->machines.size() == 2);
     CHECK(wave->duration == 2500ms);
-    CHECK(wave->at_once == 3);
+    CHECK(wave->max_concurrent == 3);
     CHECK(encode_wave_status(true) == R"({"state":"completed"})");
     CHECK(wave_status_key(4) == "status/wave/4");
 }
@@ -247,7 +248,7 @@
     vm.capacity = {4000, 8192, 2};
     vm.draining = true;
     vm.remaining_ms = 1200;
-    CHECK(decoded(encode_vm(vm), vm_key("i-7")) == vm);
+    CHECK(decode_registration(encode_vm(vm), vm_key("i-7")) == vm);
 
     jobs::fleet_configuration configuration;
     configuration.version = 9;
@@ -263,11 +264,11 @@
     configuration.queues[0].advice = jobs::advice_settings{20ms, 2ms, 5s};
     configuration.pools = {{"p", false}, {"spare", true}};
     configuration.max_body_bytes = 1024;
-    const auto decoded = decode_configuration(encode_configuration(configuration));
-    REQUIRE(decoded);
-    CHECK(encode_configuration(*decoded) == encode_configuration(configuration));
-    CHECK(decoded->queues[0].advice->valid == 5s);
-    CHECK(decoded->pools[1].spare);
+    const auto decoded_configuration = decode_configuration(encode_configuration(configuration));
+    REQUIRE(decoded_configuration);
+    CHECK(encode_configuration(*decoded_configuration) == encode_configuration(configuration));
+    CHECK(decoded_configuration->queues[0].advice->valid == 5s);
+    CHECK(decoded_configuration->pools[1].spare);
 
     jobs::job_spec job;
     job.payload = "s";
@@ -284,9 +285,9 @@
     job.start_at_ms = 5;
     job.period_ms = 7;
     findings problems;
-    const jobs::job_spec again = decode_job(encode_job(job), "", "", problems);
+    const jobs::job_spec decoded_job = decode_job(encode_job(job), "", "", problems);
     CHECK(problems.empty());
-    CHECK(encode_job(again) == encode_job(job));
-    CHECK(again.steps[1].disruption_budget == 1);
-    CHECK(again.occurrences == 2);
+    CHECK(encode_job(decoded_job) == encode_job(job));
+    CHECK(decoded_job.steps[1].disruption_budget == 1);
+    CHECK(decoded_job.occurrences == 2);
 }
--- a/tests/platform/store_client_test.cpp
+++ b/tests/platform/store_client_test.cpp
@@ -23,30 +23,30 @@
         REQUIRE(m_server.listen({"127.0.0.1", 0}));
     }
 
-    store_answer listing() {
-        return answer([](store_client& client, store_client::callback done) {
+    store_answer list_items() {
+        return run_call([](store_client& client, store_client::callback done) {
             client.range("servers/", {}, std::move(done));
         });
     }
-    store_answer watching() {
-        return answer([](store_client& client, store_client::callback done) {
+    store_answer watch_items() {
+        return run_call([](store_client& client, store_client::callback done) {
             client.watch("servers/", 1, 1s, std::move(done));
         });
     }
-    store_answer reading() {
-        return answer([](store_client& client, store_client::callback done) {
+    store_answer read_item() {
+        return run_call([](store_client& client, store_client::callback done) {
             client.get("servers/a", std::move(done));
         });
     }
-    store_answer committing() {
-        return answer([](store_client& client, store_client::callback done) {
+    store_answer commit_write() {
+        return run_call([](store_client& client, store_client::callback done) {
             client.commit({{}, {{"sp/a", "x", 0}}, {}}, std::move(done));
         });
     }
 
   private:
     template <typename Call>
-    store_answer answer(Call call) {
+    store_answer run_call(Call call) {
         store_client client(m_loop, {"127.0.0.1", m_server.port()});
         std::optional<store_answer> result;
         call(client, [&result](store_answer answer) { result = std::move(answer); });
@@ -72,12 +72,12 @@
     // All nodes stop one after the other, or none sees a VM any more. One entry among hundreds holds bytes
     // that are no text, broken base64, or no key; the whole answer was thrown away for it, or reading the
     // entry's empty key ended the process.
-    struct odd_item {
-        std::string what;
+    struct malformed_item {
+        std::string description;
         std::string text;
-        std::vector<std::string> keys; ///< What is read of it.
+        std::vector<std::string> expected_keys; ///< What is read of it.
     };
-    const std::vector<odd_item> odd{
+    const std::vector<malformed_item> malformed_items{
         {"no object", "7", {}},
         {"null", "null", {}},
         {"no key", R"({"value":"eA==","revision":4})", {}},
@@ -90,15 +90,15 @@
          "{\"key\":\"servers/\xff\xfe\",\"value\":\"eA==\",\"revision\":4}",
          {"servers/\xff\xfe"}},
     };
-    for (const odd_item& item : odd) {
-        INFO(item.what);
+    for (const malformed_item& item : malformed_items) {
+        INFO(item.description);
         const std::string rows = R"([{"key":"servers/a","value":"eA==","revision":2},)" + item.text +
                                  R"(,{"key":"servers/z","value":"eQ==","revision":3}])";
         std::vector<std::string> expected{"servers/a"};
-        expected.insert(expected.end(), item.keys.begin(), item.keys.end());
+        expected.insert(expected.end(), item.expected_keys.begin(), item.expected_keys.end());
         expected.emplace_back("servers/z");
         const store_answer listed =
-            fixed_store(200, R"({"items":)" + rows + R"(,"current_rev":9})").listing();
+            fixed_store(200, R"({"items":)" + rows + R"(,"current_rev":9})").list_items();
         CHECK(listed.status == store_status::ok);
         CHECK(listed.revision == 9);
         CHECK(keys_of(listed) == expected);
@@ -107,7 +107,7 @@
             CHECK(listed.items.back().value == "y");
         }
         const store_answer watched =
-            fixed_store(200, R"({"events":)" + rows + R"(,"current_rev":9})").watching();
+            fixed_store(200, R"({"events":)" + rows + R"(,"current_rev":9})").watch_items();
         CHECK(watched.status == store_status::ok);
         CHECK(keys_of(watched) == expected);
     }
@@ -120,10 +120,10 @@
         for (const int code : {200, 412}) {
             INFO(code << " " << body);
             fixed_store store(code, body);
-            CHECK(store.listing().status == store_status::unknown);
-            CHECK(store.watching().status == store_status::unknown);
-            CHECK(store.reading().status == store_status::unknown);
-            CHECK(store.committing().status == store_status::unknown);
+            CHECK(store.list_items().status == store_status::unknown);
+            CHECK(store.watch_items().status == store_status::unknown);
+            CHECK(store.read_item().status == store_status::unknown);
+            CHECK(store.commit_write().status == store_status::unknown);
         }
     }
 }
@@ -133,10 +133,10 @@
     // store answers. A call that was sent in the outage runs into its time-out just now, and the store
     // counted as silent since that call was sent.
     event_loop loop;
-    bool silent = true;
+    bool is_unresponsive = true;
     std::vector<std::shared_ptr<server_request>> unanswered;
     http_server server(loop, {}, [&](const std::shared_ptr<server_request>& request) {
-        if (silent) {
+        if (is_unresponsive) {
             unanswered.push_back(request);
         } else {
             request->reply(404, {}, "");
@@ -144,22 +144,22 @@
     });
     REQUIRE(server.listen({"127.0.0.1", 0}));
     store_client client(loop, {"127.0.0.1", server.port()});
-    std::optional<milliseconds> silence_at_failure;
+    std::optional<milliseconds> unresponsive_time_at_failure;
     client.get("a", [&](const store_answer& answer) {
         CHECK(answer.status == store_status::unknown);
-        silence_at_failure = client.silent_for(event_loop::now());
+        unresponsive_time_at_failure = client.unresponsive_for(event_loop::now());
     });
-    REQUIRE(loop_until(loop, [&] { return client.silent_for(event_loop::now()) >= 600ms; }));
-    silent = false;
+    REQUIRE(loop_until(loop, [&] { return client.unresponsive_for(event_loop::now()) >= 600ms; }));
+    is_unresponsive = false;
     bool answered = false;
     client.get("b", [&](const store_answer&) { answered = true; });
     REQUIRE(loop_until(loop, [&] { return answered; }));
-    CHECK_FALSE(silence_at_failure.has_value()); // The first call still waits.
-    CHECK(client.silent_for(event_loop::now()) < 300ms);
+    CHECK_FALSE(unresponsive_time_at_failure.has_value()); // The first call still waits.
+    CHECK(client.unresponsive_for(event_loop::now()) < 300ms);
     // Asked all along, the store answers all along.
     REQUIRE(loop_until(loop, [&] {
         client.get("c", [](const store_answer&) {});
-        return silence_at_failure.has_value();
+        return unresponsive_time_at_failure.has_value();
     }));
-    CHECK(*silence_at_failure < 300ms);
+    CHECK(*unresponsive_time_at_failure < 300ms);
 }
