--- a/jobs/advice.cpp
+++ b/jobs/advice.cpp
@@ -8,48 +8,48 @@
 
 /// A refused VM stays refused: the step's policy does not change. Asked again only in case the VM is another
 /// one.
-constexpr milliseconds refusal_memory = 60s;
+constexpr milliseconds refusal_cache_duration = 60s;
 /// A ticket is not used in its last moments: the start must reach the VM while it is valid.
 constexpr milliseconds ticket_margin = 300ms;
 /// An answer that has not come by then beyond its expected time won't come.
-constexpr milliseconds answer_patience = 1500ms;
-constexpr std::size_t least_asked = 4;
-constexpr std::size_t most_asked = 30;
+constexpr milliseconds answer_timeout = 1500ms;
+constexpr std::size_t min_queried_vms = 4;
+constexpr std::size_t max_queried_vms = 30;
 
 } // namespace
 
-std::size_t vms_to_ask(std::size_t idle_tasks) {
-    return std::clamp(2 * idle_tasks, least_asked, most_asked);
+std::size_t vms_per_query(std::size_t idle_tasks) {
+    return std::clamp(2 * idle_tasks, min_queried_vms, max_queried_vms);
 }
 
-const std::string* step_advice::ticket(const std::string& vm, timestamp now) const {
+const std::string* step_advice::find_ticket(const std::string& vm, timestamp now) const {
     const auto found = m_verdicts.find(vm);
-    if (found == m_verdicts.end() || found->second.ticket.empty() || now >= found->second.until) {
+    if (found == m_verdicts.end() || found->second.ticket.empty() || now >= found->second.expires_at) {
         return nullptr;
     }
     return &found->second.ticket;
 }
 
-bool step_advice::is_open(const std::string& vm, timestamp now) const {
+bool step_advice::needs_query(const std::string& vm, timestamp now) const {
     const auto found = m_verdicts.find(vm);
-    return found == m_verdicts.end() || now >= found->second.until;
+    return found == m_verdicts.end() || now >= found->second.expires_at;
 }
 
-void step_advice::asked(const advice_request& request, timestamp now) {
-    m_pending_until = now + request.expected + answer_patience;
+void step_advice::record_request(const advice_request& request, timestamp now) {
+    m_pending_until = now + request.expected_duration + answer_timeout;
 }
 
-void step_advice::answered(const advice_request& request, const advice_answer& answer, timestamp now) {
+void step_advice::record_answer(const advice_request& request, const advice_answer& answer, timestamp now) {
     m_pending_until = timestamp(0);
-    if (!answer.good) {
+    if (!answer.succeeded) {
         return;
     }
     for (const std::string& vm : request.vms) {
         const auto approved = answer.tickets.find(vm);
         if (approved == answer.tickets.end()) {
-            m_verdicts[vm] = {{}, now + refusal_memory};
+            m_verdicts[vm] = {{}, now + refusal_cache_duration};
         } else {
-            m_verdicts[vm] = {approved->second, now + answer.valid - ticket_margin};
+            m_verdicts[vm] = {approved->second, now + answer.ticket_validity - ticket_margin};
         }
     }
 }
--- a/jobs/advice.hpp
+++ b/jobs/advice.hpp
@@ -15,31 +15,31 @@
     std::uint32_t occurrence = 0;
     std::uint32_t step = 0;
     std::vector<std::string> vms;
-    milliseconds expected{0}; ///< How long the service takes for it.
+    milliseconds expected_duration{0}; ///< How long the service takes for it.
 };
 
 struct advice_answer {
-    bool good = false;
+    bool succeeded = false;
     std::map<std::string, std::string> tickets; ///< VM -> ticket, for those that may.
-    milliseconds valid{0};
+    milliseconds ticket_validity{0};
 };
 
 /// What is known of the VMs that may run one step. Not thread-safe.
 class step_advice {
   public:
     /// The ticket for a VM, or null while there is no valid one.
-    [[nodiscard]] const std::string* ticket(const std::string& vm, timestamp now) const;
+    [[nodiscard]] const std::string* find_ticket(const std::string& vm, timestamp now) const;
     /// Whether the VM is worth asking about: it was not, or its answer has run out.
-    [[nodiscard]] bool is_open(const std::string& vm, timestamp now) const;
-    [[nodiscard]] bool pending(timestamp now) const noexcept { return now < m_pending_until; }
+    [[nodiscard]] bool needs_query(const std::string& vm, timestamp now) const;
+    [[nodiscard]] bool is_pending(timestamp now) const noexcept { return now < m_pending_until; }
 
-    void asked(const advice_request& request, timestamp now);
-    void answered(const advice_request& request, const advice_answer& answer, timestamp now);
+    void record_request(const advice_request& request, timestamp now);
+    void record_answer(const advice_request& request, const advice_answer& answer, timestamp now);
 
   private:
     struct verdict {
         std::string ticket; ///< Empty: it may not.
-        timestamp until{0};
+        timestamp expires_at{0};
     };
 
     std::map<std::string, verdict> m_verdicts;
@@ -48,6 +48,6 @@
 
 /// Most VMs that one question names. Each adds to the time of the answer, so only as many as the step may
 /// need.
-[[nodiscard]] std::size_t vms_to_ask(std::size_t idle_tasks);
+[[nodiscard]] std::size_t vms_per_query(std::size_t idle_tasks);
 
 } // namespace siskinpaddle::jobs
--- a/jobs/balance.hpp
+++ b/jobs/balance.hpp
@@ -13,15 +13,15 @@
 /// One VM as its pool's owner sees it.
 struct vm_load {
     std::string vm;
-    bool usable = false;   ///< It takes work.
-    bool idle = false;     ///< Nothing runs there, or may yet start, and what ended there is stored.
-    bool released = false; ///< It is kept empty, and a new owner would not wait for it.
-    bool endless = false;  ///< It has runs that don't end by themselves.
+    bool is_usable = false; ///< It takes work.
+    bool is_idle = false;   ///< Nothing runs there, or may yet start, and what ended there is stored.
+    bool released = false;  ///< It is kept empty, and a new owner would not wait for it.
+    bool hosts_long_running = false; ///< It has runs that don't end by themselves.
     std::int64_t used_millicores = 0;
 
     template <typename Archive>
     void serialize(Archive& archive) {
-        archive(vm, usable, idle, released, endless, used_millicores);
+        archive(vm, is_usable, is_idle, released, hosts_long_running, used_millicores);
     }
 };
 
@@ -29,30 +29,30 @@
 struct label_demand {
     std::string label;
     std::int64_t need_millicores = 0; ///< As in `pool_demand`.
-    std::int64_t keep_millicores = 0;
+    std::int64_t retained_millicores = 0;
 
     template <typename Archive>
     void serialize(Archive& archive) {
-        archive(label, need_millicores, keep_millicores);
+        archive(label, need_millicores, retained_millicores);
     }
 };
 
 /// What a pool's owner tells of its demand.
 struct pool_demand {
     std::int64_t need_millicores = 0; ///< Capacity that would keep its jobs within their objectives now.
-    std::int64_t keep_millicores =
+    std::int64_t retained_millicores =
         0; ///< The same, falling only slowly: what is worth keeping for what may come.
     /// Further capacity for accepted work that is late. Served from machines that no pool needs for work that
     /// can still be in time.
     std::int64_t late_millicores = 0;
     /// VMs that its long-running tasks need at least: few of a step may share one, however small they are.
-    std::uint64_t least_vms = 0;
+    std::uint64_t min_vms = 0;
     std::vector<label_demand> labels; ///< Each is contained in the figures above.
     std::vector<vm_load> vms;
 
     template <typename Archive>
     void serialize(Archive& archive) {
-        archive(need_millicores, keep_millicores, late_millicores, least_vms, labels, vms);
+        archive(need_millicores, retained_millicores, late_millicores, min_vms, labels, vms);
     }
 };
 
@@ -64,10 +64,10 @@
     std::string rack;
     std::string availability_zone;
     std::string vm; ///< Empty while it runs none.
-    bool up = false;
-    bool moving = false;
-    bool reserved = false; ///< An upkeep wants it, or an order about it is under way.
-    bool cleared = false;  ///< Its pool's owner keeps it empty already.
+    bool is_up = false;
+    bool is_moving = false;
+    bool is_reserved = false; ///< An upkeep wants it, or an order about it is under way.
+    bool kept_empty = false;  ///< Its pool's owner keeps it empty already.
     std::int64_t millicores = 0;
 
     /// Whether its VM serves tasks that require the label.
@@ -85,24 +85,24 @@
 
 struct balance_plan {
     std::vector<machine_move> moves;
-    std::set<std::string> clear; ///< VMs that are to be empty, so that they can be moved next.
-    std::size_t unwanted = 0;    ///< Machines beyond what all pools want together.
+    std::set<std::string> vms_to_evacuate; ///< VMs that are to be empty, so that they can be moved next.
+    std::size_t unneeded_machines = 0;     ///< Machines beyond what all pools want together.
 };
 
 /// What one plan leaves for the next.
-struct balance_memory {
+struct balance_state {
     std::map<std::string, timestamp> surplus_since; ///< Pool -> since when it has more than it needs.
     std::set<std::pair<std::string, std::string>>
-        refused; ///< Kind of machine and pool that don't go together.
+        refused_kinds; ///< Kind of machine and pool that don't go together.
 };
 
 /// Figures of the balancing.
 struct balance_settings {
     /// VMs that a pool keeps whatever its demand, so that the loss of one leaves it serving.
-    std::size_t least_vms = 2;
+    std::size_t min_vms = 2;
     /// A pool gives machines back only after it had too many for this long. A move costs about as much as one
     /// machine for a second, and so does the way back; a pause shorter than that is not worth it.
-    milliseconds release_after = 500ms;
+    milliseconds release_delay = 500ms;
     /// Beyond the demand, since tasks don't fill a VM to the last core.
     double headroom = 1.15;
 };
@@ -118,6 +118,6 @@
 [[nodiscard]] balance_plan plan_balance(const std::vector<balance_machine>& machines,
                                         const std::map<std::string, pool_demand>& demands,
                                         const std::string& spare_pool, const balance_settings& settings,
-                                        balance_memory& memory, timestamp now);
+                                        balance_state& state, timestamp now);
 
 } // namespace siskinpaddle::jobs
--- a/jobs/clear_list.hpp
+++ b/jobs/evacuation_list.hpp
@@ -13,7 +13,7 @@
 /// would stand for every machine that is off: as long as one of them is on its way, or waits for its upkeep,
 /// none of the spare pool's other machines would count as free. Seen as machines that come at 50 a second
 /// where the platform takes 168, and not at all while a wave of upkeep goes on.
-class clear_list {
+class evacuation_list {
   public:
     void add(const std::string& pool, const std::string& vm) {
         if (!vm.empty()) {
@@ -27,12 +27,12 @@
         return found != m_vms.end() && found->second.contains(vm);
     }
     /// The VMs of one pool.
-    [[nodiscard]] std::set<std::string> of(const std::string& pool) const {
+    [[nodiscard]] std::set<std::string> vms_of_pool(const std::string& pool) const {
         const auto found = m_vms.find(pool);
         return found == m_vms.end() ? std::set<std::string>{} : found->second;
     }
     /// The VMs of all pools.
-    [[nodiscard]] std::set<std::string> all() const {
+    [[nodiscard]] std::set<std::string> all_vms() const {
         std::set<std::string> result;
         for (const auto& [pool, vms] : m_vms) {
             result.insert(vms.begin(), vms.end());
--- a/jobs/fleet_configuration.cpp
+++ b/jobs/fleet_configuration.cpp
@@ -4,7 +4,7 @@
 
 namespace siskinpaddle::jobs {
 
-const queue_settings* fleet_configuration::match(std::string_view host, std::string_view path) const {
+const queue_settings* fleet_configuration::match_queue(std::string_view host, std::string_view path) const {
     const queue_settings* best = nullptr;
     for (const queue_settings& item : queues) {
         const bool fits = item.host == host && path.starts_with(item.prefix);
@@ -15,7 +15,7 @@
     return best;
 }
 
-const queue_settings* fleet_configuration::queue(std::string_view name) const {
+const queue_settings* fleet_configuration::find_queue(std::string_view name) const {
     for (const queue_settings& item : queues) {
         if (item.name == name) {
             return &item;
@@ -24,7 +24,7 @@
     return nullptr;
 }
 
-const pool_settings* fleet_configuration::pool(std::string_view name) const {
+const pool_settings* fleet_configuration::find_pool(std::string_view name) const {
     for (const pool_settings& item : pools) {
         if (item.name == name) {
             return &item;
@@ -33,7 +33,7 @@
     return nullptr;
 }
 
-std::vector<std::string> fleet_configuration::working_pools() const {
+std::vector<std::string> fleet_configuration::pools_with_queues() const {
     std::set<std::string> names;
     for (const queue_settings& item : queues) {
         names.insert(item.pool);
--- a/jobs/fleet_configuration.hpp
+++ b/jobs/fleet_configuration.hpp
@@ -12,9 +12,9 @@
 
 /// How the policy service of a queue answers which VMs may run a step.
 struct advice_settings {
-    milliseconds decision{0}; ///< Time of one answer ...
-    milliseconds per_vm{0};   ///< ... and what each VM named in the call adds.
-    milliseconds valid{0};    ///< How long a ticket is good for.
+    milliseconds base_time{0};       ///< Time of one answer ...
+    milliseconds time_per_vm{0};     ///< ... and what each VM named in the call adds.
+    milliseconds ticket_validity{0}; ///< How long a ticket is good for.
 };
 
 /// A queue: jobs that arrive under one host and path prefix run in one pool.
@@ -33,7 +33,7 @@
 /// A pool of VMs.
 struct pool_settings {
     std::string name;
-    bool spare = false; ///< Its VMs are off; they wait to be moved to other pools.
+    bool is_spare = false; ///< Its VMs are off; they wait to be moved to other pools.
     /// Its VMs refuse what does not fit. Else they start whatever they are told to.
     bool vms_check_capacity = true;
 };
@@ -46,11 +46,11 @@
     std::size_t max_body_bytes = 1U << 20U;
 
     /// The queue whose host matches and whose prefix is the longest that `path` begins with, or null.
-    [[nodiscard]] const queue_settings* match(std::string_view host, std::string_view path) const;
-    [[nodiscard]] const queue_settings* queue(std::string_view name) const;
-    [[nodiscard]] const pool_settings* pool(std::string_view name) const;
+    [[nodiscard]] const queue_settings* match_queue(std::string_view host, std::string_view path) const;
+    [[nodiscard]] const queue_settings* find_queue(std::string_view name) const;
+    [[nodiscard]] const pool_settings* find_pool(std::string_view name) const;
     /// Pools that at least one queue sends jobs to.
-    [[nodiscard]] std::vector<std::string> working_pools() const;
+    [[nodiscard]] std::vector<std::string> pools_with_queues() const;
 };
 
 } // namespace siskinpaddle::jobs
--- a/jobs/label_meters.cpp
+++ b/jobs/label_meters.cpp
@@ -8,30 +8,31 @@
 
 /// How long after a task wanted a label a VM with it is kept: several of the turns in which demand comes and
 /// goes, 4 to 5 s each.
-constexpr milliseconds label_memory = 20s;
+constexpr milliseconds label_retention = 20s;
 
 } // namespace
 
-void label_meters::arrived(const job_spec& spec, const work_gauge& gauge, timestamp now) {
+void label_meters::record_arrival(const job_spec& spec, const work_gauge& gauge, timestamp now) {
     std::map<std::string, std::int64_t> by_label;
     for (const step_spec& step : spec.steps) {
         if (!step.required_label.empty()) {
-            by_label[step.required_label] += work_of(step, step.count, spec.queue, gauge);
+            by_label[step.required_label] += estimate_work(step, step.count, spec.queue, gauge);
         }
     }
     for (const auto& [label, work] : by_label) {
         meter& item = m_meters[label];
         item.demand.arrived(spec.id, work, now);
-        item.asked_at = now;
+        item.last_requested_at = now;
     }
 }
 
 std::vector<label_demand> label_meters::update(const std::map<std::string, std::int64_t>& wanted,
                                                timestamp now) {
     for (const auto& [label, millicores] : wanted) {
-        m_meters[label].asked_at = now;
+        m_meters[label].last_requested_at = now;
     }
-    std::erase_if(m_meters, [&](const auto& item) { return now - item.second.asked_at > label_memory; });
+    std::erase_if(m_meters,
+                  [&](const auto& item) { return now - item.second.last_requested_at > label_retention; });
     std::vector<label_demand> result;
     for (auto& [label, item] : m_meters) {
         const auto found = wanted.find(label);
--- a/jobs/label_meters.hpp
+++ b/jobs/label_meters.hpp
@@ -17,7 +17,7 @@
 class label_meters {
   public:
     /// A job was handed in, accepted or turned away.
-    void arrived(const job_spec& spec, const work_gauge& gauge, timestamp now);
+    void record_arrival(const job_spec& spec, const work_gauge& gauge, timestamp now);
     /// What VMs with each label are needed for. `wanted`: what tasks with the label use or would use now,
     /// millicores.
     [[nodiscard]] std::vector<label_demand> update(const std::map<std::string, std::int64_t>& wanted,
@@ -26,7 +26,7 @@
   private:
     struct meter {
         demand_meter demand;
-        timestamp asked_at{0}; ///< When a task last wanted the label.
+        timestamp last_requested_at{0}; ///< When a task last wanted the label.
     };
 
     std::map<std::string, meter> m_meters;
--- a/jobs/scheduler.cpp
+++ b/jobs/scheduler.cpp
@@ -72,8 +72,8 @@
     for (const auto& [name, vm] : m_vms) {
         if (vm.listed && vm.reachable && !vm.cordoned && !vm.info().draining) {
             load.usable_millicores += vm.info().capacity.cpu_millicores;
-            load.used_millicores += m_gauge.millicores(vm.used());
-            load.endless_millicores += m_gauge.millicores(vm.endless_used());
+            load.used_millicores += m_gauge.equivalent_millicores(vm.used());
+            load.endless_millicores += m_gauge.equivalent_millicores(vm.long_running_used());
             ++load.usable_vms;
             largest = std::max(largest, vm.info().capacity.cpu_millicores);
         }
@@ -94,21 +94,21 @@
         return static_cast<std::int64_t>(static_cast<double>(millicores) * shrunk);
     };
     result.need_millicores = at_best(need);
-    result.keep_millicores = at_best(present.usable_part(m_demand.kept()));
+    result.retained_millicores = at_best(present.usable_part(m_demand.kept()));
     result.late_millicores = at_best(std::max<std::int64_t>(0, with_late - need));
-    result.least_vms = vms_for_endless(present.usable_vms);
+    result.min_vms = vms_for_endless(present.usable_vms);
     if (m_isolation_lacks_vm) {
-        result.least_vms = std::max<std::uint64_t>(result.least_vms, present.usable_vms + 1);
+        result.min_vms = std::max<std::uint64_t>(result.min_vms, present.usable_vms + 1);
     }
     result.labels = m_labels.update(wanted_by_label(now), now);
     for (const auto& [name, vm] : m_vms) {
         vm_load item;
         item.vm = name;
-        item.usable =
-            vm.listed && vm.reachable && vm.ever_heard() && !vm.info().draining && !vm.set_aside_at(now);
-        item.idle = is_settled(name);
-        item.endless = vm.hosts_endless();
-        item.used_millicores = m_gauge.millicores(vm.used());
+        item.is_usable =
+            vm.listed && vm.reachable && vm.has_responded() && !vm.info().draining && !vm.is_quarantined(now);
+        item.is_idle = is_settled(name);
+        item.hosts_long_running = vm.hosts_long_running();
+        item.used_millicores = m_gauge.equivalent_millicores(vm.used());
         result.vms.push_back(std::move(item));
     }
     return result;
@@ -122,7 +122,7 @@
     for (const auto& [name, vm] : m_vms) {
         if (vm.listed && !vm.info().draining) {
             now += vm.info().capacity.cpu_millicores;
-            largest += vm.largest_millicores();
+            largest += vm.max_millicores();
         }
     }
     if (now <= 0) {
@@ -137,7 +137,8 @@
 /// job that was accepted 7 s before the traffic had its last task started 41 s into it. Meanwhile no upkeep
 /// could move one of its tasks, since those that had never started used its disruption budget up.
 std::uint64_t scheduler::vms_for_endless(std::size_t usable_vms) const {
-    const auto each = static_cast<std::uint64_t>(std::max<std::int64_t>(1, m_gauge.vm().cpu_millicores));
+    const auto each =
+        static_cast<std::uint64_t>(std::max<std::int64_t>(1, m_gauge.largest_vm_capacity().cpu_millicores));
     std::uint64_t missing = 0;
     std::uint64_t room = 0;
     for (const auto& item : m_jobs) {
@@ -150,7 +151,8 @@
             const std::uint64_t tasks = waiting_tasks(job, place);
             const std::uint64_t most = step.max_per_vm == 0 ? tasks : step.max_per_vm;
             missing = std::max(missing, tasks == 0 ? 0 : (tasks + most - 1) / most);
-            room += tasks * static_cast<std::uint64_t>(m_gauge.millicores(counted_need(step)));
+            room +=
+                tasks * static_cast<std::uint64_t>(m_gauge.equivalent_millicores(reserved_resources(step)));
         });
     }
     missing = std::max(missing, (room + each - 1) / each);
@@ -172,9 +174,10 @@
                 return;
             }
             const std::uint32_t idle = job.idle(place);
-            const std::int64_t each = m_gauge.millicores(counted_need(step));
+            const std::int64_t each = m_gauge.equivalent_millicores(reserved_resources(step));
             const std::int64_t waiting =
-                step.endless ? idle * each : work_of(step, idle, job.spec().queue, m_gauge) / drain_time_ms;
+                step.endless ? idle * each
+                             : estimate_work(step, idle, job.spec().queue, m_gauge) / drain_time_ms;
             wanted[step.required_label] += (job.left(place) - idle) * each + waiting;
         });
     }
@@ -185,8 +188,8 @@
     if (spec.endless() || spec.timed) {
         return;
     }
-    m_demand.arrived(spec.id, whole_work(spec, m_gauge), now);
-    m_labels.arrived(spec, m_gauge, now);
+    m_demand.arrived(spec.id, estimate_job_work(spec, m_gauge), now);
+    m_labels.record_arrival(spec, m_gauge, now);
 }
 
 void scheduler::add_job(const job_record& record, timestamp accepted_at) {
@@ -273,8 +276,8 @@
     m_urgent = false;
     m_ends_to_store = false;
     for (const auto& [name, vm] : m_vms) {
-        if (vm.seen > vm.acknowledged) {
-            round.ends[name] = vm.seen;
+        if (vm.last_received_end > vm.last_stored_end) {
+            round.ends[name] = vm.last_received_end;
         }
     }
     return round;
@@ -296,7 +299,7 @@
 void scheduler::round_stored(const store_round& round) {
     for (const auto& [name, seen] : round.ends) {
         if (const auto found = m_vms.find(name); found != m_vms.end()) {
-            found->second.acknowledged = std::max(found->second.acknowledged, seen);
+            found->second.last_stored_end = std::max(found->second.last_stored_end, seen);
         }
     }
 }
--- a/jobs/scheduler.hpp
+++ b/jobs/scheduler.hpp
@@ -164,7 +164,7 @@
     [[nodiscard]] decisions decide(timestamp now, std::int64_t wall_ms, bool certain);
     /// Starts were held back until earlier ones are answered, and enough of these are. To be asked with each
     /// answer, so that the next decision comes at once.
-    [[nodiscard]] bool may_start_more() const noexcept { return m_starts_on_way.reopens(); }
+    [[nodiscard]] bool may_start_more() const noexcept { return m_starts_on_way.can_resume(); }
     [[nodiscard]] pool_load load() const;
     /// What the pool needs, and its VMs.
     [[nodiscard]] pool_demand demand(timestamp now);
--- a/jobs/scheduler_decide.cpp
+++ b/jobs/scheduler_decide.cpp
@@ -38,12 +38,12 @@
 void scheduler::give_up_lapsed(timestamp now) {
     for (auto item = m_vms.begin(); item != m_vms.end();) {
         vm_state& vm = item->second;
-        const bool lapsed = vm.ever_heard() && now > vm.lapses_at();
-        if (lapsed && !vm.vacant()) {
-            drop_runs_of(vm, vm_end_cause::lapsed, now);
+        const bool lapsed = vm.has_responded() && now > vm.lease_expires_at();
+        if (lapsed && !vm.has_no_runs()) {
+            drop_runs_of(vm, vm_end_cause::lease_expired, now);
         }
-        const bool forgettable =
-            !vm.listed && vm.vacant() && !m_unheard.contains(item->first) && (lapsed || !vm.ever_heard());
+        const bool forgettable = !vm.listed && vm.has_no_runs() && !m_unheard.contains(item->first) &&
+                                 (lapsed || !vm.has_responded());
         item = forgettable ? m_vms.erase(item) : std::next(item);
     }
 }
@@ -71,7 +71,8 @@
     }
     const auto vm = m_vms.find(item.vm);
     return item.phase == run_phase::running && item.percent >= 100 && vm != m_vms.end() &&
-           vm->second.reachable && now - vm->second.heard_at() <= m_settings.placement.silence;
+           vm->second.reachable &&
+           now - vm->second.last_response_at() <= m_settings.placement.max_response_age;
 }
 
 std::uint32_t scheduler::away(const job_state& job, step_place place, timestamp now) const {
@@ -109,10 +110,10 @@
                 }
                 const bool stuck = item.phase == run_phase::running && !step.endless && !step.gang &&
                                    vm.reachable && now - item.progress_at >= stuck_after &&
-                                   vm.heard_at() > item.progress_at + stuck_after / 2;
+                                   vm.last_response_at() > item.progress_at + stuck_after / 2;
                 if (stuck) {
                     note("run-stuck", name, &id, item.attempt);
-                    vm.book_failure(now);
+                    vm.record_failure(now);
                     stop_run(id, item, now);
                 }
             }
@@ -223,8 +224,8 @@
             }
         });
     }
-    if (m_starts_on_way.open(now)) {
-        m_starts_on_way.caught_up();
+    if (m_starts_on_way.can_send(now)) {
+        m_starts_on_way.reset_throttling();
     }
     m_sustained_millicores = m_starts_on_way.sustained_millicores(now);
 }
@@ -248,18 +249,18 @@
                 break;
             }
             if (begins_at > now) {
-                m_coming_work += waiting_of(job, occurrence, m_gauge).runnable;
+                m_coming_work += estimate_waiting_work(job, occurrence, m_gauge).runnable;
             } else if (rank_of(job, *queue_of(job), begins_at, now).group <= 1) {
                 count_waiting(job, occurrence);
             } else {
-                m_late_work += waiting_of(job, occurrence, m_gauge).all;
+                m_late_work += estimate_waiting_work(job, occurrence, m_gauge).all;
             }
         }
     }
 }
 
 void scheduler::count_waiting(const job_state& job, std::uint32_t occurrence) {
-    const waiting_work waiting = waiting_of(job, occurrence, m_gauge);
+    const waiting_work waiting = estimate_waiting_work(job, occurrence, m_gauge);
     m_waiting_work += waiting.all;
     m_runnable_work += waiting.runnable;
 }
@@ -279,7 +280,7 @@
         if (task.done || !task.runs.empty() || (task.unaccounted && !step.speculative)) {
             continue;
         }
-        if (!m_starts_on_way.open(now)) {
+        if (!m_starts_on_way.can_send(now)) {
             return;
         }
         const bool placed =
@@ -311,14 +312,14 @@
     item.from_scratch = job.task(id).checkpoint.empty();
     item.started_at = now;
     item.progress_at = now;
-    item.start_deadline = vm->deadline(now, m_settings.start_patience);
-    vm->granted(item.start_deadline);
+    item.start_deadline = vm->lease_deadline(now, m_settings.start_patience);
+    vm->record_granted_deadline(item.start_deadline);
     const step_spec& step = job.spec().steps[id.step];
-    vm->add_task(id, counted_need(step), step.endless);
-    const std::string ticket = advice == nullptr ? std::string() : *advice->ticket(item.vm, now);
+    vm->add_task(id, reserved_resources(step), step.endless);
+    const std::string ticket = advice == nullptr ? std::string() : *advice->find_ticket(item.vm, now);
     m_out.starts.push_back({item.vm, id, attempt, item.start_deadline, job.task(id).checkpoint, ticket});
-    m_starts_on_way.sent(id, attempt, job.spec().payload.size(),
-                         step.endless ? 0 : work_of(step, 1, job.spec().queue, m_gauge), now);
+    m_starts_on_way.record_sent(id, attempt, job.spec().payload.size(),
+                                step.endless ? 0 : estimate_work(step, 1, job.spec().queue, m_gauge), now);
     job.add_run(id, std::move(item));
     return true;
 }
@@ -332,18 +333,19 @@
 
 /// Asks about VMs that nothing is known of, one question for a step at a time.
 void scheduler::ask_advice(const job_state& job, step_place place, step_advice& advice, timestamp now) {
-    if (advice.pending(now)) {
+    if (advice.is_pending(now)) {
         return;
     }
     const advice_settings& policy = *queue_of(job)->advice;
     advice_request request{job.spec().id, place.occurrence, place.step, {}, {}};
-    request.vms = vms_worth_asking(m_vms, job, job.id_of(place, 0), m_settings.placement, advice,
-                                   vms_to_ask(job.idle(place)), now);
+    request.vms = vms_to_query(m_vms, job, job.id_of(place, 0), m_settings.placement, advice,
+                               vms_per_query(job.idle(place)), now);
     if (request.vms.empty()) {
         return;
     }
-    request.expected = policy.decision + policy.per_vm * static_cast<std::int64_t>(request.vms.size());
-    advice.asked(request, now);
+    request.expected_duration =
+        policy.base_time + policy.time_per_vm * static_cast<std::int64_t>(request.vms.size());
+    advice.record_request(request, now);
     m_out.questions.push_back(std::move(request));
 }
 
@@ -351,7 +353,7 @@
 /// end when they wait too long.
 void scheduler::place_gang(job_state& job, step_place place, timestamp now) {
     const step_spec& step = job.spec().steps[place.step];
-    if (job.idle(place) != step.count || !m_starts_on_way.open(now)) {
+    if (job.idle(place) != step.count || !m_starts_on_way.can_send(now)) {
         return;
     }
     std::uint32_t attempt = m_first_attempt;
@@ -377,7 +379,7 @@
         while (m_out.starts.size() > before) {
             const start_order order = m_out.starts.back();
             m_out.starts.pop_back();
-            m_starts_on_way.settled(order.task, order.attempt);
+            m_starts_on_way.release(order.task, order.attempt);
             drop_run(job, order.task, order.attempt, order.vm, now);
         }
         return;
--- a/jobs/scheduler_runs.cpp
+++ b/jobs/scheduler_runs.cpp
@@ -10,7 +10,7 @@
     job.remove_run(id, attempt, vm, now);
     if (const auto found = m_vms.find(vm); found != m_vms.end()) {
         const step_spec& step = job.spec().steps[id.step];
-        found->second.remove_task(id, counted_need(step), step.endless);
+        found->second.remove_task(id, reserved_resources(step), step.endless);
     }
 }
 
@@ -103,23 +103,23 @@
     const auto known = std::ranges::find_if(
         task.runs, [&](const run& item) { return item.attempt == end.attempt && item.vm == incarnation; });
     if (known != task.runs.end()) {
-        if (end.how == run_end::done && known->from_scratch) {
-            m_gauge.book(job.spec().queue, job.spec().steps[end.task.step].estimate_ms,
-                         now - known->started_at);
+        if (end.outcome == run_end::done && known->from_scratch) {
+            m_gauge.record_task(job.spec().queue, job.spec().steps[end.task.step].estimate_ms,
+                                now - known->started_at);
         }
         drop_run(job, end.task, end.attempt, incarnation, now);
     }
-    if (end.how == run_end::done) {
-        vm.book_success();
-    } else if (end.how == run_end::failed) {
-        vm.book_failure(now);
+    if (end.outcome == run_end::done) {
+        vm.record_success();
+    } else if (end.outcome == run_end::failed) {
+        vm.record_failure(now);
     }
     if (is_final(job.phase()) || task.done) {
         return;
     }
-    if (end.how == run_end::done) {
+    if (end.outcome == run_end::done) {
         take_done(job, end.task, now);
-    } else if (end.how == run_end::failed) {
+    } else if (end.outcome == run_end::failed) {
         take_failure(job, end.task, end.attempt, vm, now);
     }
 }
@@ -149,7 +149,7 @@
                               (!task.runs.empty() && !job.spec().steps[item.task.step].speculative);
         run& added = job.add_run(item.task, std::move(adopted));
         const step_spec& step = job.spec().steps[item.task.step];
-        vm.add_task(item.task, counted_need(step), step.endless);
+        vm.add_task(item.task, reserved_resources(step), step.endless);
         note(unwanted ? "stop-surplus-run" : "run-adopted", incarnation, &item.task, item.attempt);
         if (unwanted) {
             stop_run(item.task, added, now);
@@ -222,15 +222,16 @@
     end.vm = vm.info().incarnation;
     end.machine = vm.info().machine;
     end.cause = cause;
-    end.heard = vm.ever_heard();
+    end.had_responded = vm.has_responded();
     end.draining = vm.info().draining;
-    end.isolated = !vm.isolates.empty();
-    end.silent_from = vm.silent_from() == timestamp(0) ? now : vm.silent_from();
+    end.isolated = !vm.isolated_for_job.empty();
+    end.unresponsive_since = vm.unresponsive_since() == timestamp(0) ? now : vm.unresponsive_since();
     const std::set<task_id> tasks(vm.tasks().begin(), vm.tasks().end());
     for (const task_id& id : tasks) {
         for (const run& item : m_jobs.find(id.job)->second.task(id).runs) {
             if (item.vm == end.vm) {
-                const milliseconds age = std::max<milliseconds>(0ms, end.silent_from - item.started_at);
+                const milliseconds age =
+                    std::max<milliseconds>(0ms, end.unresponsive_since - item.started_at);
                 const bool confirmed = item.phase == run_phase::running || item.confirmed_clock > 0;
                 end.runs.push_back({id, item.attempt, age, confirmed});
             }
@@ -244,7 +245,7 @@
     if (!end.runs.empty()) {
         m_out.ended_vms.push_back(end);
     }
-    const char* why = cause == vm_end_cause::lapsed ? "lease-lapsed" : "vm-gone";
+    const char* why = cause == vm_end_cause::lease_expired ? "lease-lapsed" : "vm-gone";
     const std::set<task_id> tasks(vm.tasks().begin(), vm.tasks().end());
     const std::string incarnation = vm.info().incarnation;
     for (const task_id& id : tasks) {
@@ -258,7 +259,7 @@
         }
     }
     vm.set_orphans({});
-    take_vm_end(end, cause == vm_end_cause::lapsed ? vm_fate::lapsed : vm_fate::ended, now);
+    take_vm_end(end, cause == vm_end_cause::lease_expired ? vm_fate::lapsed : vm_fate::ended, now);
 }
 
 } // namespace siskinpaddle::jobs
--- a/jobs/scheduler_suspects.cpp
+++ b/jobs/scheduler_suspects.cpp
@@ -33,8 +33,8 @@
         return;
     }
     const bool mass = ended_in_mass(end);
-    if (end.heard) {
-        m_recent_ends.add(end.vm, end.silent_from, now);
+    if (end.had_responded) {
+        m_recent_ends.add(end.vm, end.unresponsive_since, now);
     }
     for (const blamed_run& item : blame(end, mass)) {
         // A run that has lasted longer than proven_after isn't blamed, so its age fits.
@@ -54,23 +54,24 @@
         std::erase_if(m_silent_vms, [this](const auto& item) { return !m_vms.contains(item.first); });
     }
     for (const auto& [name, vm] : m_vms) {
-        const bool silent = !vm.reachable && vm.ever_heard() && now - vm.silent_from() >= silence_noted_after;
-        if (silent && !vm.vacant() && !m_silent_vms.contains(name)) {
-            take_vm_end(describe_end(vm, vm_end_cause::lapsed, now), vm_fate::silent, now);
+        const bool silent =
+            !vm.reachable && vm.has_responded() && now - vm.unresponsive_since() >= silence_noted_after;
+        if (silent && !vm.has_no_runs() && !m_silent_vms.contains(name)) {
+            take_vm_end(describe_end(vm, vm_end_cause::lease_expired, now), vm_fate::silent, now);
         }
     }
 }
 
 bool scheduler::ended_in_mass(const vm_end& end) const {
-    std::vector<timestamp> silent{end.silent_from};
+    std::vector<timestamp> silent{end.unresponsive_since};
     std::size_t heard = 0;
     for (const auto& [name, vm] : m_vms) {
-        heard += vm.ever_heard() ? 1 : 0;
-        if (name != end.vm && vm.ever_heard() && vm.silent_from() != timestamp(0)) {
-            silent.push_back(vm.silent_from());
+        heard += vm.has_responded() ? 1 : 0;
+        if (name != end.vm && vm.has_responded() && vm.unresponsive_since() != timestamp(0)) {
+            silent.push_back(vm.unresponsive_since());
         }
     }
-    return is_mass_loss(m_recent_ends.together(end.silent_from, silent), heard);
+    return is_mass_loss(m_recent_ends.together(end.unresponsive_since, silent), heard);
 }
 
 void scheduler::hold_against(const task_id& id, const crash_evidence& evidence, timestamp now) {
@@ -284,10 +285,10 @@
         }
     }
     for (auto& [name, vm] : m_vms) {
-        const bool needed =
-            isolated.contains(vm.isolates) && (takes_work(vm) || vm.suspect_jobs.contains(vm.isolates));
+        const bool needed = isolated.contains(vm.isolated_for_job) &&
+                            (takes_work(vm) || vm.suspect_jobs.contains(vm.isolated_for_job));
         if (!needed) {
-            vm.isolates.clear();
+            vm.isolated_for_job.clear();
         }
     }
 }
@@ -336,8 +337,8 @@
     std::size_t others = 0;
     bool kept = false;
     for (const auto& [incarnation, vm] : m_vms) {
-        kept = kept || vm.isolates == name;
-        others += !vm.isolates.empty() && vm.isolates != name && takes_work(vm) ? 1 : 0;
+        kept = kept || vm.isolated_for_job == name;
+        others += !vm.isolated_for_job.empty() && vm.isolated_for_job != name && takes_work(vm) ? 1 : 0;
     }
     if (!kept && others >= std::max<std::size_t>(1, usable_vms() / isolated_share)) {
         return nullptr;
@@ -346,11 +347,11 @@
     std::tuple<bool, std::size_t, std::size_t> best_cost;
     for (auto& item : m_vms) {
         vm_state& vm = item.second;
-        const bool fits = kept ? vm.isolates == name : !vm.has_other_suspects(name);
-        if (!fits || !could_take(vm, job, id, m_settings.placement, advice, now)) {
+        const bool fits = kept ? vm.isolated_for_job == name : !vm.has_other_suspects(name);
+        if (!fits || !can_host_after_short_runs(vm, job, id, m_settings.placement, advice, now)) {
             continue;
         }
-        const std::tuple cost{vm.hosts_endless(), unproven_others(vm, name, now), vm.tasks().size()};
+        const std::tuple cost{vm.hosts_long_running(), unproven_others(vm, name, now), vm.tasks().size()};
         if (best == nullptr || cost < best_cost) {
             best = &vm;
             best_cost = cost;
@@ -359,13 +360,14 @@
     if (best == nullptr) {
         return nullptr;
     }
-    if (!kept && best->hosts_endless() && now - job.task(id).idle_since < isolation_patience) {
+    if (!kept && best->hosts_long_running() && now - job.task(id).idle_since < isolation_patience) {
         m_isolation_lacks_vm = true;
         return nullptr;
     }
-    best->isolates = name;
+    best->isolated_for_job = name;
     const bool clean = unproven_others(*best, name, now) == 0;
-    return clean && counted_need(job.spec().steps[id.step]).fits_in(best->room()) ? best : nullptr;
+    return clean && reserved_resources(job.spec().steps[id.step]).fits_in(best->free_capacity()) ? best
+                                                                                                 : nullptr;
 }
 
 } // namespace siskinpaddle::jobs
--- a/jobs/scheduler_vms.cpp
+++ b/jobs/scheduler_vms.cpp
@@ -14,7 +14,7 @@
 } // namespace
 
 void scheduler::list_vm(const vm_info& info) {
-    m_gauge.saw_vm(info.capacity);
+    m_gauge.record_vm_capacity(info.capacity);
     const auto found = m_vms.find(info.incarnation);
     if (found == m_vms.end()) {
         m_vms.emplace(info.incarnation, vm_state(info));
@@ -59,7 +59,7 @@
 void scheduler::vm_unreachable(const std::string& vm, timestamp now) {
     if (const auto found = m_vms.find(vm); found != m_vms.end()) {
         found->second.reachable = false;
-        found->second.missed_answer(now);
+        found->second.record_missed_response(now);
     }
 }
 
@@ -69,17 +69,17 @@
         return;
     }
     vm_state& vm = found->second;
-    if (!vm.ever_heard()) {
+    if (!vm.has_responded()) {
         // An earlier owner may have granted a whole lease just before: without this, runs that are adopted
         // here look lapsed until our first renewal is answered, and are started a second time.
-        vm.granted(report.clock_ms + m_settings.lease.count());
+        vm.record_granted_deadline(report.clock_ms + m_settings.lease.count());
     }
-    vm.heard(report.clock_ms, now);
+    vm.record_response(report.clock_ms, now);
     vm.reachable = true;
     silent_vm_answers(name, now);
     for (const end_report& end : report.ended) {
-        if (end.sequence > vm.seen) {
-            vm.seen = end.sequence;
+        if (end.sequence > vm.last_received_end) {
+            vm.last_received_end = end.sequence;
             m_ends_to_store = true;
             take_end(vm, end, now);
         }
@@ -123,9 +123,9 @@
                                timestamp now) {
     const auto job = m_jobs.find(order.task.job);
     const auto vm = m_vms.find(order.vm);
-    m_starts_on_way.settled(order.task, order.attempt);
+    m_starts_on_way.release(order.task, order.attempt);
     if (vm != m_vms.end() && clock_ms > 0) {
-        vm->second.heard(clock_ms, now);
+        vm->second.record_response(clock_ms, now);
     }
     if (job == m_jobs.end()) {
         return;
@@ -147,7 +147,7 @@
         return;
     case order_outcome::unknown:
         if (vm != m_vms.end()) {
-            vm->second.missed_answer(now);
+            vm->second.record_missed_response(now);
         }
         if (item->phase == run_phase::starting) {
             item->phase = run_phase::unsettled;
@@ -158,14 +158,14 @@
             }
         }
         return;
-    case order_outcome::refused_room:
+    case order_outcome::refused_capacity:
         if (vm != m_vms.end()) {
-            vm->second.full_until_clock = clock_ms;
+            vm->second.capacity_refused_at_clock = clock_ms;
         }
         break;
     case order_outcome::refused_unhealthy:
         if (vm != m_vms.end()) {
-            vm->second.set_aside(now + unhealthy_pause);
+            vm->second.quarantine(now + unhealthy_pause);
         }
         break;
     default:
@@ -194,7 +194,7 @@
 void scheduler::advice_answered(const advice_request& request, const advice_answer& answer, timestamp now) {
     const auto found = m_advice.find({request.job, request.occurrence, request.step});
     if (found != m_advice.end()) {
-        found->second.answered(request, answer, now);
+        found->second.record_answer(request, answer, now);
     }
 }
 
@@ -206,7 +206,7 @@
 
 bool scheduler::is_settled(const std::string& vm) const {
     const auto found = m_vms.find(vm);
-    return !m_unheard.contains(vm) && (found == m_vms.end() || found->second.settled());
+    return !m_unheard.contains(vm) && (found == m_vms.end() || found->second.is_idle());
 }
 
 std::int64_t scheduler::renewal_deadline(const std::string& vm, timestamp now) {
@@ -220,9 +220,9 @@
     if (found->second.tasks().empty() && !found->second.orphans().empty()) {
         return 0; // All that runs there is unwanted. Where no stop arrives, its lease ends it.
     }
-    const std::int64_t deadline = found->second.deadline(now, m_settings.lease);
+    const std::int64_t deadline = found->second.lease_deadline(now, m_settings.lease);
     if (deadline > 0) {
-        found->second.granted(deadline);
+        found->second.record_granted_deadline(deadline);
     }
     return deadline;
 }
--- a/jobs/start_window.hpp
+++ b/jobs/start_window.hpp
@@ -13,15 +13,15 @@
 struct start_window_settings {
     /// Bytes of starts that may be on their way at a time: what the owner's link carries in a fraction of the
     /// timeouts of all that shares it.
-    std::size_t most_bytes = 32UL * 1024;
+    std::size_t max_bytes_in_flight = 32UL * 1024;
     std::size_t overhead_bytes = 400; ///< Of a start beside its payload: header fields, names, numbers.
     /// A start without an answer counts for this long. Beyond it the VM is silent rather than the link slow,
     /// and a few silent VMs must not hold up the starts of all others.
-    milliseconds answer_patience = 300ms;
-    milliseconds rate_span = 1s; ///< Over which the rate of starts is taken ...
+    milliseconds answer_timeout = 300ms;
+    milliseconds rate_window = 1s; ///< Over which the rate of starts is taken ...
     /// ... and how long starts must have been held back for it to mean anything: a burst that goes out at
     /// once says nothing about a rate.
-    milliseconds least_span = 400ms;
+    milliseconds min_throttled_time = 400ms;
 };
 
 /// Bounds the starts that are on their way to a pool's VMs. Answers an owner on a narrow link or a slow
@@ -34,23 +34,25 @@
     explicit start_window(start_window_settings settings = {}) : m_settings(settings) {}
 
     /// `work`: of the task, millicore-milliseconds.
-    void sent(const task_id& task, std::uint32_t attempt, std::size_t payload_bytes, std::int64_t work,
-              timestamp now);
+    void record_sent(const task_id& task, std::uint32_t attempt, std::size_t payload_bytes, std::int64_t work,
+                     timestamp now);
     /// The start was answered, or given up.
-    void settled(const task_id& task, std::uint32_t attempt);
+    void release(const task_id& task, std::uint32_t attempt);
     /// Whether another start may be sent. After it was full once it opens again when half of it is free, so
     /// that starts go out in batches rather than one with each answer.
-    [[nodiscard]] bool open(timestamp now);
+    [[nodiscard]] bool can_send(timestamp now);
     /// To be called when all that waited was placed, as far as there is room.
-    void caught_up() noexcept { m_held_since.reset(); }
+    void reset_throttling() noexcept { m_throttled_since.reset(); }
     /// Millicores that starts keep at work when they go out as fast as they are answered; nothing while the
     /// window does not hold any back, or has done so only for a moment.
     [[nodiscard]] std::optional<std::int64_t> sustained_millicores(timestamp now);
     /// Starts were held back, and there is room for the next ones.
-    [[nodiscard]] bool reopens() const noexcept { return m_full && m_bytes < m_settings.most_bytes / 2; }
+    [[nodiscard]] bool can_resume() const noexcept {
+        return m_full && m_bytes < m_settings.max_bytes_in_flight / 2;
+    }
 
   private:
-    struct entry {
+    struct in_flight_start {
         task_id task;
         std::uint32_t attempt = 0;
         std::size_t bytes = 0;
@@ -59,17 +61,17 @@
 
     struct started_work {
         std::int64_t work = 0;
-        timestamp at{0};
+        timestamp started_at{0};
     };
 
-    void forget_silent(timestamp now);
+    void drop_timed_out(timestamp now);
 
     start_window_settings m_settings;
-    std::deque<entry> m_entries; ///< By the time at which they were sent.
+    std::deque<in_flight_start> m_in_flight; ///< By the time at which they were sent.
     std::size_t m_bytes = 0;
     bool m_full = false;
-    std::optional<timestamp> m_held_since; ///< Starts have been held back ever since.
-    std::deque<started_work> m_started;    ///< Of the last moments, by time.
+    std::optional<timestamp> m_throttled_since; ///< Starts have been held back ever since.
+    std::deque<started_work> m_started;         ///< Of the last moments, by time.
 };
 
 } // namespace siskinpaddle::jobs
--- a/jobs/vm.hpp
+++ b/jobs/vm.hpp
@@ -35,11 +35,11 @@
 /// How a run ended, as its VM reports it.
 enum class run_end : std::uint8_t {
     done,
-    failed,  ///< By its own fault or its VM's.
-    stopped, ///< On our order.
-    lapsed,  ///< The VM's lease ran out.
-    broken,  ///< Another member of its gang ended.
-    alone    ///< It waited too long for the rest of its gang.
+    failed,            ///< By its own fault or its VM's.
+    stopped,           ///< On our order.
+    lease_expired,     ///< The VM's lease ran out.
+    gang_member_ended, ///< Another member of its gang ended.
+    gang_incomplete    ///< It waited too long for the rest of its gang.
 };
 
 /// A run that a VM reports as going on.
@@ -56,7 +56,7 @@
     std::int64_t sequence = 0; ///< Counts the ends of one life of a VM, from 1.
     task_id task;
     std::uint32_t attempt = 0;
-    run_end how = run_end::failed;
+    run_end outcome = run_end::failed;
     std::string checkpoint;
 };
 
@@ -71,9 +71,9 @@
 enum class order_outcome : std::uint8_t {
     accepted,
     refused_fenced,    ///< The VM has seen a higher fencing token.
-    refused_old,       ///< A run that is as new or newer was there.
-    refused_late,      ///< The order's deadline had passed when it arrived.
-    refused_room,      ///< The VM has no room for the task.
+    refused_outdated,  ///< A run that is as new or newer was there.
+    refused_deadline,  ///< The order's deadline had passed when it arrived.
+    refused_capacity,  ///< The VM has no room for the task.
     refused_ticket,    ///< The ticket is missing or no longer valid.
     refused_unhealthy, ///< The VM calls itself unhealthy; nothing was done.
     refused_invalid,   ///< The VM doesn't understand the order.
@@ -89,17 +89,17 @@
     std::pair{siskinpaddle::jobs::run_end::done, std::string_view("done")},
     std::pair{siskinpaddle::jobs::run_end::failed, std::string_view("failed")},
     std::pair{siskinpaddle::jobs::run_end::stopped, std::string_view("stopped")},
-    std::pair{siskinpaddle::jobs::run_end::lapsed, std::string_view("lapsed")},
-    std::pair{siskinpaddle::jobs::run_end::broken, std::string_view("broken")},
-    std::pair{siskinpaddle::jobs::run_end::alone, std::string_view("alone")}};
+    std::pair{siskinpaddle::jobs::run_end::lease_expired, std::string_view("lapsed")},
+    std::pair{siskinpaddle::jobs::run_end::gang_member_ended, std::string_view("broken")},
+    std::pair{siskinpaddle::jobs::run_end::gang_incomplete, std::string_view("alone")}};
 
 template <>
 inline constexpr std::array siskinpaddle::enum_names<siskinpaddle::jobs::order_outcome>{
     std::pair{siskinpaddle::jobs::order_outcome::accepted, std::string_view("accepted")},
     std::pair{siskinpaddle::jobs::order_outcome::refused_fenced, std::string_view("refused-fenced")},
-    std::pair{siskinpaddle::jobs::order_outcome::refused_old, std::string_view("refused-old")},
-    std::pair{siskinpaddle::jobs::order_outcome::refused_late, std::string_view("refused-late")},
-    std::pair{siskinpaddle::jobs::order_outcome::refused_room, std::string_view("refused-room")},
+    std::pair{siskinpaddle::jobs::order_outcome::refused_outdated, std::string_view("refused-old")},
+    std::pair{siskinpaddle::jobs::order_outcome::refused_deadline, std::string_view("refused-late")},
+    std::pair{siskinpaddle::jobs::order_outcome::refused_capacity, std::string_view("refused-room")},
     std::pair{siskinpaddle::jobs::order_outcome::refused_ticket, std::string_view("refused-ticket")},
     std::pair{siskinpaddle::jobs::order_outcome::refused_unhealthy, std::string_view("refused-unhealthy")},
     std::pair{siskinpaddle::jobs::order_outcome::refused_invalid, std::string_view("refused-invalid")},
--- a/jobs/vm_end.hpp
+++ b/jobs/vm_end.hpp
@@ -12,10 +12,11 @@
 
 /// What shows that a life of a VM has ended.
 enum class vm_end_cause : std::uint8_t {
-    replaced,   ///< Another life answers at its address.
-    superseded, ///< A later life of its machine answers.
-    lapsed, ///< It was silent until the lease of all that ran there had run out; it may live and come back.
-    ordered ///< The platform has its machine down for upkeep, or in another pool.
+    replaced,      ///< Another life answers at its address.
+    superseded,    ///< A later life of its machine answers.
+    lease_expired, ///< It was silent until the lease of all that ran there had run out; it may live and come
+                   ///< back.
+    ordered        ///< The platform has its machine down for upkeep, or in another pool.
 };
 
 /// A run that its VM's end took with it.
@@ -33,10 +34,10 @@
     std::string vm;
     std::string machine;
     vm_end_cause cause = vm_end_cause::replaced;
-    bool heard = true;        ///< This owner had heard of it; else it may have ended at any time.
-    bool draining = false;    ///< It had said that it would leave.
-    bool isolated = false;    ///< It was kept for tasks of one job that are suspected of crashing VMs.
-    timestamp silent_from{0}; ///< Its first missing answer.
+    bool had_responded = true;       ///< This owner had heard of it; else it may have ended at any time.
+    bool draining = false;           ///< It had said that it would leave.
+    bool isolated = false;           ///< It was kept for tasks of one job that are suspected of crashing VMs.
+    timestamp unresponsive_since{0}; ///< Its first missing answer.
     std::vector<ended_run> runs;
 };
 
@@ -46,5 +47,5 @@
 inline constexpr std::array siskinpaddle::enum_names<siskinpaddle::jobs::vm_end_cause>{
     std::pair{siskinpaddle::jobs::vm_end_cause::replaced, std::string_view("replaced")},
     std::pair{siskinpaddle::jobs::vm_end_cause::superseded, std::string_view("superseded")},
-    std::pair{siskinpaddle::jobs::vm_end_cause::lapsed, std::string_view("lapsed")},
+    std::pair{siskinpaddle::jobs::vm_end_cause::lease_expired, std::string_view("lapsed")},
     std::pair{siskinpaddle::jobs::vm_end_cause::ordered, std::string_view("ordered")}};
--- a/jobs/vm_record.hpp
+++ b/jobs/vm_record.hpp
@@ -9,13 +9,13 @@
 namespace siskinpaddle::jobs {
 
 /// What an owner knows of a VM when it decides whether the record of VMs is to name it.
-struct record_view {
-    bool listed = true;    ///< The platform lists it in this pool.
-    bool settled = true;   ///< Nothing runs there, or may yet start, and what ended there is stored.
-    bool clearing = false; ///< It is to be kept empty, so that its machine can be ordered away.
-    bool reachable = true; ///< It answered last, or was not asked yet.
-    bool lapsed = false;   ///< All that ever ran there has certainly ended.
-    bool recorded = false; ///< The record names it now.
+struct vm_record_inputs {
+    bool listed = true;         ///< The platform lists it in this pool.
+    bool is_idle = true;        ///< Nothing runs there, or may yet start, and what ended there is stored.
+    bool evacuating = false;    ///< It is to be kept empty, so that its machine can be ordered away.
+    bool reachable = true;      ///< It answered last, or was not asked yet.
+    bool lease_expired = false; ///< All that ever ran there has certainly ended.
+    bool recorded = false;      ///< The record names it now.
 };
 
 /// Whether the record of VMs that may hold runs is to name the VM. Pure; thread-safe.
@@ -25,14 +25,14 @@
 /// VM leaves the record as soon as nothing can run there: before its machine is ordered away, and when it has
 /// been silent for longer than its lease. Answers an owner that dies while a turn ends and its machines
 /// leave: its successor waited for dozens of VMs that were gone.
-[[nodiscard]] constexpr bool belongs_in_record(const record_view& vm) noexcept {
-    if (!vm.settled) {
+[[nodiscard]] constexpr bool belongs_in_record(const vm_record_inputs& vm) noexcept {
+    if (!vm.is_idle) {
         return true;
     }
-    if (!vm.listed || vm.clearing) {
+    if (!vm.listed || vm.evacuating) {
         return false;
     }
-    return vm.reachable || (vm.recorded && !vm.lapsed);
+    return vm.reachable || (vm.recorded && !vm.lease_expired);
 }
 
 /// The record of VMs as its owner knows it: what is stored, and what may be stored instead because a write of
@@ -45,35 +45,36 @@
 /// have asked it.
 class vm_record {
   public:
-    using entries = std::map<std::string, vm_info>; ///< By incarnation.
+    using vms_by_incarnation = std::map<std::string, vm_info>; ///< By incarnation.
 
     /// What the store holds.
     void load(const std::vector<vm_info>& vms, std::int64_t revision);
 
-    [[nodiscard]] const entries& stored() const noexcept { return m_stored; }
+    [[nodiscard]] const vms_by_incarnation& stored() const noexcept { return m_stored; }
     /// Revision of the stored record; 0 while there is none.
     [[nodiscard]] std::int64_t revision() const noexcept { return m_revision; }
     /// Whether a write is on its way.
-    [[nodiscard]] bool writing() const noexcept { return m_writing; }
+    [[nodiscard]] bool is_writing() const noexcept { return m_writing; }
     /// Whether it is known what is stored.
-    [[nodiscard]] bool certain() const noexcept { return m_open.empty(); }
+    [[nodiscard]] bool is_confirmed() const noexcept { return m_unconfirmed.empty(); }
     /// Whether the record certainly names the VM.
-    [[nodiscard]] bool names(const std::string& vm) const;
-    [[nodiscard]] bool may_name(const std::string& vm) const;
+    [[nodiscard]] bool contains(const std::string& vm) const;
+    [[nodiscard]] bool may_contain(const std::string& vm) const;
 
     /// A write of `wanted` is sent, under the condition that revision() stands. Precondition: !writing().
-    void begin(entries wanted);
+    void begin_write(vms_by_incarnation wanted);
     // How the write ended. Precondition: writing().
-    void succeeded(std::int64_t revision);
-    void refused();    ///< It was certainly not carried out.
-    void unanswered(); ///< It may have been, or may yet be, carried out.
+    void write_succeeded(std::int64_t revision);
+    void write_refused();    ///< It was certainly not carried out.
+    void write_unanswered(); ///< It may have been, or may yet be, carried out.
     /// The store holds another revision: an earlier write was carried out. What it holds is known again once
     /// a write succeeds.
-    void conflicted(std::int64_t revision);
+    void write_conflicted(std::int64_t revision);
 
   private:
-    entries m_stored;
-    std::vector<entries> m_open; ///< Writes that may be, or become, the stored record; the newest last.
+    vms_by_incarnation m_stored;
+    std::vector<vms_by_incarnation>
+        m_unconfirmed; ///< Writes that may be, or become, the stored record; the newest last.
     std::int64_t m_revision = 0;
     bool m_writing = false;
 };
--- a/jobs/vm_state.cpp
+++ b/jobs/vm_state.cpp
@@ -9,72 +9,73 @@
 
 /// Failures in a row, without a success between, before a VM is set aside. One bad job fails once on each VM
 /// that tries it, so two in a row are ordinary.
-constexpr int strikes_to_set_aside = 3;
-constexpr milliseconds first_time_aside = 2s;
-constexpr milliseconds longest_time_aside = 16s;
+constexpr int failures_to_quarantine = 3;
+constexpr milliseconds min_quarantine = 2s;
+constexpr milliseconds max_quarantine = 16s;
 /// Between the lapse on the VM's clock and the end of the last process there.
-constexpr milliseconds lapse_margin = 150ms;
+constexpr milliseconds lease_expiry_margin = 150ms;
 
 } // namespace
 
 void vm_state::set_info(vm_info info) {
     m_info = std::move(info);
-    m_largest_millicores = std::max(m_largest_millicores, m_info.capacity.cpu_millicores);
+    m_max_millicores = std::max(m_max_millicores, m_info.capacity.cpu_millicores);
 }
 
-void vm_state::heard(std::int64_t clock_ms, timestamp answered_at) {
+void vm_state::record_response(std::int64_t clock_ms, timestamp answered_at) {
     if (clock_ms < m_clock_ms) {
         return; // Answers on different connections overtake each other.
     }
     m_clock_ms = clock_ms;
-    m_heard_at = answered_at;
-    m_silent_from = timestamp(0);
-    if (full_until_clock && clock_ms > *full_until_clock) {
-        full_until_clock.reset();
+    m_last_response_at = answered_at;
+    m_unresponsive_since = timestamp(0);
+    if (capacity_refused_at_clock && clock_ms > *capacity_refused_at_clock) {
+        capacity_refused_at_clock.reset();
     }
 }
 
-void vm_state::missed_answer(timestamp now) noexcept {
-    if (m_silent_from == timestamp(0)) {
-        m_silent_from = now;
+void vm_state::record_missed_response(timestamp now) noexcept {
+    if (m_unresponsive_since == timestamp(0)) {
+        m_unresponsive_since = now;
     }
 }
 
-std::int64_t vm_state::deadline(timestamp now, milliseconds lease) const {
-    return ever_heard() ? m_clock_ms + (now - m_heard_at + lease).count() : 0;
+std::int64_t vm_state::lease_deadline(timestamp now, milliseconds lease) const {
+    return has_responded() ? m_clock_ms + (now - m_last_response_at + lease).count() : 0;
 }
 
-void vm_state::granted(std::int64_t deadline) {
-    m_granted = std::max(m_granted, deadline);
+void vm_state::record_granted_deadline(std::int64_t deadline) {
+    m_granted_deadline = std::max(m_granted_deadline, deadline);
 }
 
-timestamp vm_state::lapses_at() const {
-    if (!ever_heard() || m_granted <= m_clock_ms) {
-        return m_heard_at;
+timestamp vm_state::lease_expires_at() const {
+    if (!has_responded() || m_granted_deadline <= m_clock_ms) {
+        return m_last_response_at;
     }
-    const auto left = static_cast<double>(m_granted - m_clock_ms) / slowest_vm_clock;
-    return m_heard_at + milliseconds(static_cast<std::int64_t>(std::ceil(left))) + lapse_margin;
+    const auto left = static_cast<double>(m_granted_deadline - m_clock_ms) / min_vm_clock_rate;
+    return m_last_response_at + milliseconds(static_cast<std::int64_t>(std::ceil(left))) +
+           lease_expiry_margin;
 }
 
-void vm_state::add_task(const task_id& task, const resources& need, bool endless) {
+void vm_state::add_task(const task_id& task, const resources& need, bool long_running) {
     m_tasks.insert(task);
     m_used += need;
-    if (endless) {
-        ++m_endless;
-        m_endless_used += need;
+    if (long_running) {
+        ++m_long_running_count;
+        m_long_running_used += need;
     }
 }
 
-void vm_state::remove_task(const task_id& task, const resources& need, bool endless) {
+void vm_state::remove_task(const task_id& task, const resources& need, bool long_running) {
     const auto found = m_tasks.find(task);
     if (found == m_tasks.end()) {
         return;
     }
     m_tasks.erase(found);
     m_used -= need;
-    if (endless) {
-        --m_endless;
-        m_endless_used -= need;
+    if (long_running) {
+        --m_long_running_count;
+        m_long_running_used -= need;
     }
 }
 
@@ -96,23 +97,23 @@
     return added;
 }
 
-resources vm_state::room() const {
+resources vm_state::free_capacity() const {
     resources left = m_info.capacity;
     left -= m_used;
     return left;
 }
 
-void vm_state::book_success() {
-    m_strikes = 0;
+void vm_state::record_success() {
+    m_consecutive_failures = 0;
 }
 
-void vm_state::book_failure(timestamp now) {
-    ++m_strikes;
-    if (m_strikes < strikes_to_set_aside) {
+void vm_state::record_failure(timestamp now) {
+    ++m_consecutive_failures;
+    if (m_consecutive_failures < failures_to_quarantine) {
         return;
     }
-    const int doublings = std::min(m_strikes - strikes_to_set_aside, 3);
-    set_aside(now + std::min(longest_time_aside, first_time_aside * (1 << doublings)));
+    const int doublings = std::min(m_consecutive_failures - failures_to_quarantine, 3);
+    quarantine(now + std::min(max_quarantine, min_quarantine * (1 << doublings)));
 }
 
 } // namespace siskinpaddle::jobs
--- a/jobs/work_gauge.cpp
+++ b/jobs/work_gauge.cpp
@@ -8,13 +8,13 @@
 
 /// Weight of each earlier task against the next: about the last two hundred tasks count, a second or two of a
 /// busy pool.
-constexpr double memory = 0.995;
+constexpr double decay_factor = 0.995;
 /// Estimates count as right with the weight of this many milliseconds of tasks: ten tasks or so.
-constexpr double prior_ms = 10'000;
+constexpr double prior_weight_ms = 10'000;
 /// Beyond these it is not the estimates that are wrong but the VMs that are slow, or the tasks that fail
 /// early.
-constexpr double least_factor = 0.5;
-constexpr double largest_factor = 2.5;
+constexpr double min_factor = 0.5;
+constexpr double max_factor = 2.5;
 
 /// Room that `need` takes, as a share of `all`, in millicores of `cpu`. Nothing where there is none at all.
 std::int64_t scaled(std::int64_t need, std::int64_t all, std::int64_t cpu) {
@@ -23,22 +23,24 @@
 
 } // namespace
 
-void work_gauge::saw_vm(const resources& capacity) noexcept {
-    if (capacity.cpu_millicores >= m_vm.cpu_millicores) {
-        m_vm = capacity;
+void work_gauge::record_vm_capacity(const resources& capacity) noexcept {
+    if (capacity.cpu_millicores >= m_largest_vm_capacity.cpu_millicores) {
+        m_largest_vm_capacity = capacity;
     }
 }
 
-std::int64_t work_gauge::millicores(const resources& need) const noexcept {
-    const std::int64_t by_memory = scaled(need.memory_mb, m_vm.memory_mb, m_vm.cpu_millicores);
-    const std::int64_t by_accelerators = scaled(need.accelerators, m_vm.accelerators, m_vm.cpu_millicores);
+std::int64_t work_gauge::equivalent_millicores(const resources& need) const noexcept {
+    const std::int64_t by_memory =
+        scaled(need.memory_mb, m_largest_vm_capacity.memory_mb, m_largest_vm_capacity.cpu_millicores);
+    const std::int64_t by_accelerators =
+        scaled(need.accelerators, m_largest_vm_capacity.accelerators, m_largest_vm_capacity.cpu_millicores);
     return std::max({need.cpu_millicores, by_memory, by_accelerators});
 }
 
-void work_gauge::book(const std::string& queue, std::int64_t estimate_ms, milliseconds took) {
-    sums& item = m_queues[queue];
-    item.estimated_ms = item.estimated_ms * memory + static_cast<double>(estimate_ms);
-    item.taken_ms = item.taken_ms * memory + static_cast<double>(took.count());
+void work_gauge::record_task(const std::string& queue, std::int64_t estimate_ms, milliseconds took) {
+    time_totals& item = m_queues[queue];
+    item.estimated_ms = item.estimated_ms * decay_factor + static_cast<double>(estimate_ms);
+    item.taken_ms = item.taken_ms * decay_factor + static_cast<double>(took.count());
 }
 
 double work_gauge::time_factor(const std::string& queue) const {
@@ -46,34 +48,34 @@
     if (found == m_queues.end()) {
         return 1;
     }
-    const sums& item = found->second;
-    return std::clamp((item.taken_ms + prior_ms) / (item.estimated_ms + prior_ms), least_factor,
-                      largest_factor);
+    const time_totals& item = found->second;
+    return std::clamp((item.taken_ms + prior_weight_ms) / (item.estimated_ms + prior_weight_ms), min_factor,
+                      max_factor);
 }
 
-std::int64_t work_of(const step_spec& step, std::uint32_t tasks, const std::string& queue,
-                     const work_gauge& gauge) {
+std::int64_t estimate_work(const step_spec& step, std::uint32_t tasks, const std::string& queue,
+                           const work_gauge& gauge) {
     const std::int64_t declared =
-        static_cast<std::int64_t>(tasks) * gauge.millicores(step.need) * step.estimate_ms;
+        static_cast<std::int64_t>(tasks) * gauge.equivalent_millicores(step.need) * step.estimate_ms;
     return static_cast<std::int64_t>(static_cast<double>(declared) * gauge.time_factor(queue));
 }
 
-std::int64_t whole_work(const job_spec& spec, const work_gauge& gauge) {
+std::int64_t estimate_job_work(const job_spec& spec, const work_gauge& gauge) {
     std::int64_t work = 0;
     for (const step_spec& step : spec.steps) {
-        work += work_of(step, step.count, spec.queue, gauge);
+        work += estimate_work(step, step.count, spec.queue, gauge);
     }
     return work;
 }
 
-waiting_work waiting_of(const job_state& job, std::uint32_t occurrence, const work_gauge& gauge) {
+waiting_work estimate_waiting_work(const job_state& job, std::uint32_t occurrence, const work_gauge& gauge) {
     waiting_work result;
     job.each_step_of(occurrence, [&](step_place place) {
         if (job.idle(place) == 0) {
             return;
         }
         const std::int64_t work =
-            work_of(job.spec().steps[place.step], job.idle(place), job.spec().queue, gauge);
+            estimate_work(job.spec().steps[place.step], job.idle(place), job.spec().queue, gauge);
         result.all += work;
         result.runnable += job.unlocked(place) ? work : 0;
     });
--- a/jobs/work_gauge.hpp
+++ b/jobs/work_gauge.hpp
@@ -18,32 +18,32 @@
 class work_gauge {
   public:
     /// A VM of the pool has this capacity. Where they differ, the largest counts.
-    void saw_vm(const resources& capacity) noexcept;
-    [[nodiscard]] const resources& vm() const noexcept { return m_vm; }
+    void record_vm_capacity(const resources& capacity) noexcept;
+    [[nodiscard]] const resources& largest_vm_capacity() const noexcept { return m_largest_vm_capacity; }
 
     /// Room that a need takes on a VM, as millicores of that VM: the share of whichever it takes most of.
-    [[nodiscard]] std::int64_t millicores(const resources& need) const noexcept;
+    [[nodiscard]] std::int64_t equivalent_millicores(const resources& need) const noexcept;
 
     /// A task of the queue ended as done after `took`, from its start to the word of its end.
-    void book(const std::string& queue, std::int64_t estimate_ms, milliseconds took);
+    void record_task(const std::string& queue, std::int64_t estimate_ms, milliseconds took);
     /// How much longer than estimated the queue's tasks take together; 1 while little is known.
     [[nodiscard]] double time_factor(const std::string& queue) const;
 
   private:
-    struct sums {
+    struct time_totals {
         double estimated_ms = 0;
         double taken_ms = 0;
     };
 
-    resources m_vm;
-    std::map<std::string, sums> m_queues;
+    resources m_largest_vm_capacity;
+    std::map<std::string, time_totals> m_queues;
 };
 
 /// Work of so many tasks of a step, millicore-milliseconds.
-[[nodiscard]] std::int64_t work_of(const step_spec& step, std::uint32_t tasks, const std::string& queue,
-                                   const work_gauge& gauge);
+[[nodiscard]] std::int64_t estimate_work(const step_spec& step, std::uint32_t tasks, const std::string& queue,
+                                         const work_gauge& gauge);
 /// Work of a whole job, millicore-milliseconds. Long-running tasks count as none.
-[[nodiscard]] std::int64_t whole_work(const job_spec& spec, const work_gauge& gauge);
+[[nodiscard]] std::int64_t estimate_job_work(const job_spec& spec, const work_gauge& gauge);
 
 /// Work in tasks that have no run yet, millicore-milliseconds.
 struct waiting_work {
@@ -51,7 +51,7 @@
     std::int64_t runnable = 0; ///< The part of it whose earlier steps are done.
 };
 /// What waits of one occurrence of the job.
-[[nodiscard]] waiting_work waiting_of(const job_state& job, std::uint32_t occurrence,
-                                      const work_gauge& gauge);
+[[nodiscard]] waiting_work estimate_waiting_work(const job_state& job, std::uint32_t occurrence,
+                                                 const work_gauge& gauge);
 
 } // namespace siskinpaddle::jobs
--- a/node/fleet_moves.cpp
+++ b/node/fleet_moves.cpp
@@ -21,7 +21,7 @@
 std::vector<jobs::balance_machine> fleet_task::balance_view() const {
     std::set<std::string> in_upkeep;
     for (const auto& [number, item] : m_waves) {
-        for (const auto& [machine, pending] : item.state.waiting) {
+        for (const auto& [machine, pending] : item.state.pending) {
             in_upkeep.insert(machine);
         }
     }
@@ -34,17 +34,17 @@
         item.rack = info.rack;
         item.availability_zone = info.availability_zone;
         item.vm = info.incarnation;
-        item.up = info.phase == platform::machine_phase::up;
-        item.moving = info.phase == platform::machine_phase::moving;
+        item.is_up = info.phase == platform::machine_phase::up;
+        item.is_moving = info.phase == platform::machine_phase::moving;
         item.millicores = info.capacity.cpu_millicores;
-        item.cleared = m_empty_vms.contains(info.incarnation);
-        item.reserved = in_upkeep.contains(name) || m_recent.contains(name) ||
-                        m_clear.contains(info.pool, info.incarnation);
+        item.kept_empty = m_empty_vms.contains(info.incarnation);
+        item.is_reserved = in_upkeep.contains(name) || m_recent.contains(name) ||
+                           m_clear.contains(info.pool, info.incarnation);
         if (const auto move = m_moves.find(name); move != m_moves.end()) {
             item.pool = move->second.pool;
-            item.moving = true;
-            item.up = false;
-            item.reserved = false;
+            item.is_moving = true;
+            item.is_up = false;
+            item.is_reserved = false;
         }
         view.push_back(std::move(item));
     }
@@ -76,7 +76,7 @@
     const std::string spare = spare_pool();
     const jobs::balance_plan wanted =
         jobs::plan_balance(balance_view(), known_demands(), spare, {}, m_memory, event_loop::now());
-    m_unwanted_machines = wanted.unwanted;
+    m_unwanted_machines = wanted.unneeded_machines;
     refill_orders();
     for (const jobs::machine_move& move : wanted.moves) {
         const platform::machine_info& info = m_machines[move.machine];
@@ -89,7 +89,7 @@
         }
     }
     for (const auto& [name, info] : m_machines) {
-        if (wanted.clear.contains(info.incarnation)) {
+        if (wanted.vms_to_evacuate.contains(info.incarnation)) {
             m_clear.add(info.pool, info.incarnation);
         }
     }
@@ -122,7 +122,7 @@
                                           {"outcome", name_of(outcome)},
                                           {"token", m_held.token}});
     if (outcome == platform::machine_outcome::invalid) {
-        m_memory.refused.emplace(kind, move.pool);
+        m_memory.refused_kinds.emplace(kind, move.pool);
     }
     if (outcome != platform::machine_outcome::done && outcome != platform::machine_outcome::unknown) {
         m_moves.erase(move.machine);
--- a/node/fleet_task.cpp
+++ b/node/fleet_task.cpp
@@ -43,7 +43,7 @@
 
 std::string fleet_task::spare_pool() const {
     for (const jobs::pool_settings& pool : m_parts.configuration.current().pools) {
-        if (pool.spare) {
+        if (pool.is_spare) {
             return pool.name;
         }
     }
@@ -67,7 +67,7 @@
         wave& item = m_waves[number];
         item.state.number = number;
         item.state.machines = wanted.machines;
-        item.state.at_once = wanted.max_concurrent;
+        item.state.max_concurrent = wanted.max_concurrent;
         if (!item.loaded) {
             load(number);
         }
@@ -85,7 +85,7 @@
     m_round_began_at = event_loop::now();
     m_demands.clear();
     m_empty_vms.clear();
-    const std::vector<std::string> pools = m_parts.configuration.current().working_pools();
+    const std::vector<std::string> pools = m_parts.configuration.current().pools_with_queues();
     m_unanswered = {pools.begin(), pools.end()};
     m_answers_bound->start(answers_bound);
     for (const std::string& pool : pools) {
@@ -95,7 +95,7 @@
         request.configuration = m_parts.configuration.current().version;
         request.arriving = arriving(pool);
         request.obtainable = m_unwanted_machines;
-        const std::set<std::string> kept_empty = m_clear.of(pool);
+        const std::set<std::string> kept_empty = m_clear.vms_of_pool(pool);
         request.vms.assign(kept_empty.begin(), kept_empty.end());
         m_parts.ask_pool(request, [this, pool, kept_empty, round = m_round,
                                    alive = m_lifetime.weak_token()](const peer_answer& answer) {
@@ -117,7 +117,7 @@
     }
     m_demands[pool] = answer.demand;
     for (const jobs::vm_load& vm : answer.demand.vms) {
-        if (vm.idle && vm.released && kept_empty.contains(vm.vm)) {
+        if (vm.is_idle && vm.released && kept_empty.contains(vm.vm)) {
             m_empty_vms.insert(vm.vm);
         }
     }
@@ -170,7 +170,7 @@
 }
 
 void fleet_task::plan() {
-    m_asked_empty = m_clear.all();
+    m_asked_empty = m_clear.all_vms();
     m_clear.clear();
     m_again_at_once = false;
     for (const auto& [machine, move] : m_moves) {
--- a/node/fleet_task.hpp
+++ b/node/fleet_task.hpp
@@ -66,7 +66,7 @@
     void plan_moves();
     void refill_orders();
     [[nodiscard]] std::vector<jobs::balance_machine> balance_view() const;
-    [[nodiscard]] std::map<std::string, jobs::upkeep_machine> upkeep_view() const;
+    [[nodiscard]] std::map<std::string, jobs::wave_machine> upkeep_view() const;
     [[nodiscard]] std::string spare_pool() const;
     [[nodiscard]] std::size_t arriving(const std::string& pool) const;
 
@@ -124,9 +124,9 @@
 
     std::map<std::int64_t, wave> m_waves;
     std::set<std::string> m_asked_empty; ///< VMs that their owners were asked to empty in the last round.
-    jobs::clear_list m_clear;            ///< VMs that their owners are to keep empty.
+    jobs::evacuation_list m_clear;       ///< VMs that their owners are to keep empty.
     std::map<std::string, pending_move> m_moves; ///< By machine.
-    jobs::balance_memory m_memory;
+    jobs::balance_state m_memory;
     std::size_t m_unwanted_machines = 0; ///< As of the last plan.
     bool m_stopped = false;
     lifetime m_lifetime;
--- a/node/fleet_upkeep.cpp
+++ b/node/fleet_upkeep.cpp
@@ -7,40 +7,40 @@
 
 namespace siskinpaddle::node {
 
-std::map<std::string, jobs::upkeep_machine> fleet_task::upkeep_view() const {
-    std::map<std::string, jobs::upkeep_machine> view;
+std::map<std::string, jobs::wave_machine> fleet_task::upkeep_view() const {
+    std::map<std::string, jobs::wave_machine> view;
     std::set<std::string> quiet;
     std::set<std::string> endless;
     for (const auto& [pool, demand] : m_demands) {
         for (const jobs::vm_load& vm : demand.vms) {
-            if (vm.idle) {
+            if (vm.is_idle) {
                 quiet.insert(vm.vm);
             }
-            if (vm.endless) {
+            if (vm.hosts_long_running) {
                 endless.insert(vm.vm);
             }
         }
     }
     for (const auto& [name, info] : m_machines) {
-        jobs::upkeep_machine item;
+        jobs::wave_machine item;
         item.machine = name;
         item.pool = info.pool;
         item.vm = info.incarnation;
-        item.up =
+        item.is_up =
             info.phase == platform::machine_phase::up && !m_moves.contains(name) && !m_recent.contains(name);
-        item.in_upkeep = info.phase == platform::machine_phase::maintenance || m_recent.contains(name);
+        item.in_maintenance = info.phase == platform::machine_phase::maintenance || m_recent.contains(name);
         const bool off = info.pool == spare_pool();
-        item.idle = off || m_empty_vms.contains(info.incarnation);
-        item.quiet = off || quiet.contains(info.incarnation);
-        item.endless = endless.contains(info.incarnation);
-        item.clearing = m_asked_empty.contains(info.incarnation);
+        item.kept_empty = off || m_empty_vms.contains(info.incarnation);
+        item.is_idle = off || quiet.contains(info.incarnation);
+        item.hosts_long_running = endless.contains(info.incarnation);
+        item.evacuating = m_asked_empty.contains(info.incarnation);
         view[name] = std::move(item);
     }
     return view;
 }
 
 void fleet_task::plan_waves() {
-    const std::map<std::string, jobs::upkeep_machine> view = upkeep_view();
+    const std::map<std::string, jobs::wave_machine> view = upkeep_view();
     for (auto& [number, item] : m_waves) {
         if (item.completed || !item.loaded) {
             continue;
@@ -51,11 +51,11 @@
         }
         const jobs::wave_step step =
             jobs::plan_wave(item.state, view, m_parts.settings.upkeep_time, event_loop::now());
-        for (const std::string& machine : step.clear) {
+        for (const std::string& machine : step.to_evacuate) {
             const platform::machine_info& info = m_machines[machine];
             m_clear.add(info.pool, info.incarnation);
         }
-        for (const std::string& machine : step.order) {
+        for (const std::string& machine : step.to_maintain) {
             plan_upkeep(item, machine);
         }
         if (step.completed) {
@@ -99,9 +99,9 @@
 
 void fleet_task::plan_upkeep(wave& item, const std::string& machine) {
     const std::int64_t number = item.state.number;
-    item.state.waiting[machine] = {m_machines[machine].incarnation, event_loop::now()};
+    item.state.pending[machine] = {m_machines[machine].incarnation, event_loop::now()};
     m_planned.push_back({machine, [this, number, machine] { order_upkeep(number, machine); },
-                         [this, number, machine] { m_waves[number].state.waiting.erase(machine); }});
+                         [this, number, machine] { m_waves[number].state.pending.erase(machine); }});
 }
 
 void fleet_task::order_upkeep(std::int64_t number, const std::string& machine) {
@@ -123,13 +123,13 @@
                                           {"token", m_held.token}});
     jobs::wave_state& state = m_waves[number].state;
     if (outcome == platform::machine_outcome::done) {
-        if (const auto waiting = state.waiting.find(machine); waiting != state.waiting.end()) {
+        if (const auto waiting = state.pending.find(machine); waiting != state.pending.end()) {
             waiting->second.confirmed = true;
         }
         state.confirmed.insert(machine);
         record_wave(state);
     } else if (outcome != platform::machine_outcome::unknown) {
-        state.waiting.erase(machine); // Not carried out: it is still to do.
+        state.pending.erase(machine); // Not carried out: it is still to do.
     }
 }
 
--- a/node/ingress_task.cpp
+++ b/node/ingress_task.cpp
@@ -89,7 +89,7 @@
     case platform::client_request::count: {
         message.kind = static_cast<std::uint8_t>(peer_request_kind::count);
         const auto known = m_counts.find(client.call.queue);
-        if (known != m_counts.end() && now - known->second.at <= jobs::oldest_count) {
+        if (known != m_counts.end() && now - known->second.at <= jobs::max_count_age) {
             tell_count(client, known->second, "copy");
             return;
         }
@@ -210,7 +210,7 @@
 /// a job that lies there, and that it will run: then the store is asked first.
 void ingress_task::refuse_for_load(const client_context& client, const peer_answer& answer) {
     const milliseconds retry_after(answer.retry_after_ms);
-    if (milliseconds(answer.age_ms) <= jobs::oldest_count) {
+    if (milliseconds(answer.age_ms) <= jobs::max_count_age) {
         refuse_overloaded(client, retry_after);
         return;
     }
@@ -370,7 +370,7 @@
         refuse(client, name_of(outcome_of(answer)), retry_after_start);
         return;
     }
-    if (event_loop::now() - at > jobs::oldest_count) {
+    if (event_loop::now() - at > jobs::max_count_age) {
         refuse(client, "old-count", retry_after_start);
         return;
     }
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -85,7 +85,7 @@
 void node::configuration_changed() {
     const jobs::fleet_configuration& configuration = m_configuration.current();
     std::set<std::string> duties{fleet_duty};
-    for (const std::string& pool : configuration.working_pools()) {
+    for (const std::string& pool : configuration.pools_with_queues()) {
         duties.insert(pool_duty(pool));
     }
     m_membership.set_duties(std::move(duties));
--- a/node/pool_renewals.cpp
+++ b/node/pool_renewals.cpp
@@ -45,21 +45,21 @@
         return;
     }
     const jobs::vm_state& state = known->second;
-    if (state.seen > state.acknowledged) {
+    if (state.last_received_end > state.last_stored_end) {
         link.waits_for_store = true;
         return;
     }
-    if (!state.listed && state.vacant() && state.ever_heard()) {
+    if (!state.listed && state.has_no_runs() && state.has_responded()) {
         renew_later(vm, longest_retry); // Nothing runs there: let its lease run out.
         return;
     }
     link.renewing = true;
     milliseconds wait(0);
-    if (state.ever_heard() && state.reachable) {
+    if (state.has_responded() && state.reachable) {
         wait = m_scheduler.wants_close_look(vm) ? close_look_wait : renewal_wait;
     }
     const std::int64_t deadline = m_scheduler.renewal_deadline(vm, event_loop::now());
-    m_parts.vms.renew_lease(state.info(), m_held.token, deadline, state.acknowledged, wait,
+    m_parts.vms.renew_lease(state.info(), m_held.token, deadline, state.last_stored_end, wait,
                             [this, vm, token = m_held.token,
                              alive = m_lifetime.weak_token()](const platform::renewal_answer& answer) {
                                 if (!alive.expired()) {
@@ -82,7 +82,7 @@
         }
         link->second.failures = 0;
         m_scheduler.take_report(vm, *answer.report, now);
-        if (!m_cleared_vms.contains(vm) && !m_record.may_name(vm)) {
+        if (!m_cleared_vms.contains(vm) && !m_record.may_contain(vm)) {
             m_record_timer->start(0ms); // It had been silent and left the record.
         }
         decide_soon();
@@ -95,10 +95,11 @@
         ownership_lost("fence", token);
     } else if (link->second.failures++ == 0) {
         const auto known = m_scheduler.vms().find(vm);
-        log_event(event_id::vm_unreachable, {{"pool", m_pool},
-                                             {"vm", vm},
-                                             {"outcome", name_of(answer.outcome)},
-                                             {"lapses_in_ms", (known->second.lapses_at() - now).count()}});
+        log_event(event_id::vm_unreachable,
+                  {{"pool", m_pool},
+                   {"vm", vm},
+                   {"outcome", name_of(answer.outcome)},
+                   {"lapses_in_ms", (known->second.lease_expires_at() - now).count()}});
     }
     m_scheduler.vm_unreachable(vm, now);
     decide_soon();
--- a/node/pool_requests.cpp
+++ b/node/pool_requests.cpp
@@ -48,20 +48,20 @@
 }
 
 void pool_task::count(const peer_request& request, const reply& done) const {
-    jobs::count_basis known;
-    known.taken = m_scheduler.pending(request.queue);
-    known.unsettled = static_cast<std::size_t>(
+    jobs::queue_count_inputs known;
+    known.in_scheduler = m_scheduler.pending(request.queue);
+    known.unconfirmed = static_cast<std::size_t>(
         std::ranges::count(m_unsettled_submits, request.queue, [](const auto& item) { return item.second; }));
     known.in_inbox = waiting_in_inbox(request.queue);
     known.inbox_age = inbox_age();
     const milliseconds certain = m_parts.membership.certain_until(m_held.duty) - event_loop::now();
-    known.certain_owner = certain > 0ms;
-    const std::optional<std::size_t> whole = jobs::whole_count(known);
+    known.is_confirmed_owner = certain > 0ms;
+    const std::optional<std::size_t> whole = jobs::complete_queue_count(known);
     log_event(event_id::count_computed, {{"pool", m_pool},
                                          {"queue", request.queue},
                                          {"told", static_cast<int>(whole.has_value())},
-                                         {"taken", known.taken},
-                                         {"unsettled", known.unsettled},
+                                         {"taken", known.in_scheduler},
+                                         {"unsettled", known.unconfirmed},
                                          {"inbox", known.in_inbox},
                                          {"inbox_age_ms", known.inbox_age.count()},
                                          {"certain_ms", certain.count()},
@@ -110,7 +110,7 @@
         if (m_cleared_vms.contains(vm)) {
             continue;
         }
-        if (m_record.names(vm)) {
+        if (m_record.contains(vm)) {
             m_scheduler.cordon(vm, false);
         } else {
             m_record_timer->start(0ms);
@@ -132,7 +132,7 @@
     peer_answer answer = answer_of(peer_outcome::ok);
     answer.demand = m_scheduler.demand(event_loop::now());
     for (jobs::vm_load& vm : answer.demand.vms) {
-        vm.released = wanted.contains(vm.vm) && !m_record.may_name(vm.vm);
+        vm.released = wanted.contains(vm.vm) && !m_record.may_contain(vm.vm);
     }
     if (changed) {
         decide_soon();
--- a/node/pool_task.cpp
+++ b/node/pool_task.cpp
@@ -39,7 +39,7 @@
     result.unaccounted_window = membership_task::grace_after_lease +
                                 std::chrono::duration_cast<milliseconds>(result.lease * 1.03) + 500ms;
     result.stop_time = settings.stop_time;
-    result.starts.most_bytes = bytes_in(starts_on_link, settings.link_mbps);
+    result.starts.max_bytes_in_flight = bytes_in(starts_on_link, settings.link_mbps);
     return result;
 }
 
@@ -90,7 +90,7 @@
     std::ranges::copy_if(configuration.queues, std::back_inserter(queues),
                          [this](const jobs::queue_settings& item) { return item.pool == m_pool; });
     m_scheduler.configure(std::move(queues));
-    const jobs::pool_settings* pool = configuration.pool(m_pool);
+    const jobs::pool_settings* pool = configuration.find_pool(m_pool);
     m_vms_check_capacity = pool == nullptr || pool->vms_check_capacity;
     decide_soon();
 }
@@ -236,7 +236,7 @@
                                    {"machine", end.machine},
                                    {"cause", name_of(end.cause)},
                                    {"draining", static_cast<int>(end.draining)},
-                                   {"silent_ms", (event_loop::now() - end.silent_from).count()},
+                                   {"silent_ms", (event_loop::now() - end.unresponsive_since).count()},
                                    {"count", end.runs.size()},
                                    {"runs", runs.empty() ? std::string("-") : runs}});
 }
@@ -323,7 +323,7 @@
                                                   {"step", question.step},
                                                   {"asked", question.vms.size()},
                                                   {"approved", answer.tickets.size()},
-                                                  {"good", static_cast<int>(answer.good)}});
+                                                  {"good", static_cast<int>(answer.succeeded)}});
             m_scheduler.advice_answered(question, answer, event_loop::now());
             decide_soon();
         });
--- a/node/pool_task.hpp
+++ b/node/pool_task.hpp
@@ -97,7 +97,7 @@
     void record_vms();
     void record_written(const platform::store_answer& answer, std::int64_t token);
     void review_record();
-    [[nodiscard]] jobs::vm_record::entries vms_to_record() const;
+    [[nodiscard]] jobs::vm_record::vms_by_incarnation vms_to_record() const;
     [[nodiscard]] bool belongs_in_record(const std::string& vm, bool listed) const;
     void look_for_unheard();
     void take_machines(const platform::machine_list& list);
--- a/node/pool_vms.cpp
+++ b/node/pool_vms.cpp
@@ -33,7 +33,7 @@
                                     {"machine", info->machine},
                                     {"zone", info->availability_zone},
                                     {"draining", static_cast<int>(info->draining)}});
-    if (m_record.names(vm) && m_scheduler.vms().contains(vm)) {
+    if (m_record.contains(vm) && m_scheduler.vms().contains(vm)) {
         m_scheduler.list_vm(*info);
         renew(vm);
         decide_soon();
@@ -63,22 +63,22 @@
 }
 
 bool pool_task::belongs_in_record(const std::string& vm, bool listed) const {
-    jobs::record_view view;
+    jobs::vm_record_inputs view;
     view.listed = listed;
-    view.settled = m_scheduler.is_settled(vm);
-    view.clearing = m_cleared_vms.contains(vm);
-    view.recorded = m_record.may_name(vm);
+    view.is_idle = m_scheduler.is_settled(vm);
+    view.evacuating = m_cleared_vms.contains(vm);
+    view.recorded = m_record.may_contain(vm);
     if (const auto known = m_scheduler.vms().find(vm); known != m_scheduler.vms().end()) {
         const jobs::vm_state& state = known->second;
         view.reachable = state.reachable;
-        view.lapsed = !state.ever_heard() || event_loop::now() > state.lapses_at();
+        view.lease_expired = !state.has_responded() || event_loop::now() > state.lease_expires_at();
     }
     return jobs::belongs_in_record(view);
 }
 
 /// VMs that may hold runs, now or after the next decision.
-jobs::vm_record::entries pool_task::vms_to_record() const {
-    jobs::vm_record::entries wanted;
+jobs::vm_record::vms_by_incarnation pool_task::vms_to_record() const {
+    jobs::vm_record::vms_by_incarnation wanted;
     for (const auto& [vm, info] : m_directory.vms()) {
         if (info.pool == m_pool && belongs_in_record(vm, true)) {
             wanted.emplace(vm, info);
@@ -99,7 +99,7 @@
 void pool_task::review_record() {
     const timestamp now = event_loop::now();
     const bool released = std::ranges::any_of(m_cleared_vms, [this](const std::string& vm) {
-        return m_record.names(vm) && m_scheduler.is_settled(vm);
+        return m_record.contains(vm) && m_scheduler.is_settled(vm);
     });
     if (released || now - m_record_reviewed_at >= record_review) {
         m_record_reviewed_at = now;
@@ -112,11 +112,11 @@
 /// only against the record as this owner knows it: one that is carried out late must not bring an older
 /// record back.
 void pool_task::record_vms() {
-    if (m_record.writing() || m_lost) {
+    if (m_record.is_writing() || m_lost) {
         return;
     }
-    jobs::vm_record::entries wanted = vms_to_record();
-    if (m_record.certain() && wanted == m_record.stored()) {
+    jobs::vm_record::vms_by_incarnation wanted = vms_to_record();
+    if (m_record.is_confirmed() && wanted == m_record.stored()) {
         use_recorded();
         return;
     }
@@ -134,7 +134,7 @@
     change.conditions.push_back(owner_condition());
     change.conditions.push_back({vms_key(m_pool), m_record.revision()});
     change.writes.push_back({vms_key(m_pool), encode_archive(named), 0});
-    m_record.begin(std::move(wanted));
+    m_record.begin_write(std::move(wanted));
     m_parts.store.commit(change, [this, token = m_held.token,
                                   alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
         if (!alive.expired()) {
@@ -146,24 +146,24 @@
 void pool_task::record_written(const platform::store_answer& answer, std::int64_t token) {
     switch (answer.status) {
     case platform::store_status::ok:
-        m_record.succeeded(answer.revision);
+        m_record.write_succeeded(answer.revision);
         use_recorded();
         break;
     case platform::store_status::conflict:
-        m_record.conflicted(revision_of(answer, vms_key(m_pool)));
+        m_record.write_conflicted(revision_of(answer, vms_key(m_pool)));
         if (revision_of(answer, owner_prefix + m_held.duty) != token) {
             ownership_lost("vm record", token);
             return;
         }
         break;
     case platform::store_status::unknown:
-        m_record.unanswered();
+        m_record.write_unanswered();
         break;
     default:
-        m_record.refused();
+        m_record.write_refused();
         break;
     }
-    if (!m_record.certain() || vms_to_record() != m_record.stored()) {
+    if (!m_record.is_confirmed() || vms_to_record() != m_record.stored()) {
         m_record_timer->start(answer.status == platform::store_status::ok ? 0ms : record_pause);
     }
 }
--- a/tests/jobs/balance_test.cpp
+++ b/tests/jobs/balance_test.cpp
@@ -9,33 +9,33 @@
 namespace {
 
 /// A fleet of VMs of 32 cores that carries out every move at once or after its time.
-struct fleet_bench {
+struct simulated_fleet {
     std::vector<balance_machine> machines;
     std::map<std::string, pool_demand> demands;
-    balance_memory memory;
+    balance_state memory;
     timestamp now{10'000};
     std::size_t moves = 0;
 
-    void pool(const std::string& name, std::size_t count) {
+    void add_pool(const std::string& name, std::size_t count) {
         demands[name];
         for (std::size_t i = 0; i < count; ++i) {
-            add(name, name + "-" + std::to_string(i));
+            add_machine(name, name + "-" + std::to_string(i));
         }
     }
 
-    void add(const std::string& pool, const std::string& machine, const std::string& kind = "plain") {
+    void add_machine(const std::string& pool, const std::string& machine, const std::string& kind = "plain") {
         balance_machine item;
         item.kind = kind;
         item.rack = "r-" + machine;
         item.machine = machine;
         item.pool = pool;
         item.vm = pool == "spare" ? "" : "vm-" + machine;
-        item.up = true;
+        item.is_up = true;
         item.millicores = 32'000;
         machines.push_back(item);
     }
 
-    void resize(const std::string& pool, std::int64_t cores) {
+    void set_machine_cores(const std::string& pool, std::int64_t cores) {
         for (balance_machine& machine : machines) {
             machine.millicores = machine.pool == pool ? cores * 1000 : machine.millicores;
         }
@@ -50,10 +50,10 @@
     }
 
     /// The pool's owner reports `need` cores; so many VMs as that fills are busy.
-    void need(const std::string& pool, std::int64_t cores) {
+    void set_need(const std::string& pool, std::int64_t cores) {
         pool_demand& demand = demands[pool];
         demand.need_millicores = cores * 1000;
-        demand.keep_millicores = cores * 1000;
+        demand.retained_millicores = cores * 1000;
         demand.vms.clear();
         auto busy = static_cast<std::size_t>((cores + 31) / 32);
         for (const balance_machine& machine : machines) {
@@ -79,7 +79,7 @@
     }
 
     /// Part of the pool's need wants machines of the kind.
-    void need_kind(const std::string& pool, const std::string& kind, std::int64_t cores) {
+    void add_kind_need(const std::string& pool, const std::string& kind, std::int64_t cores) {
         demands[pool].labels.push_back({kind, cores * 1000, cores * 1000});
     }
 
@@ -99,57 +99,57 @@
     // Recorded from a day of turns: dispatch had held 39 VMs with a third in use for four seconds, while
     // pricing stood at one VM with eight seconds of work waiting; callers of quotes were turned away all that
     // time.
-    fleet_bench b;
-    b.pool("dispatch", 39);
-    b.pool("pricing", 2);
-    b.pool("spare", 0);
+    simulated_fleet b;
+    b.add_pool("dispatch", 39);
+    b.add_pool("pricing", 2);
+    b.add_pool("spare", 0);
     b.demands.erase("spare");
-    b.need("dispatch", 390);
-    b.need("pricing", 1200);
+    b.set_need("dispatch", 390);
+    b.set_need("pricing", 1200);
     b.plan();
     CHECK(b.count("pricing") >= 25);
     CHECK(b.count("dispatch") >= 12);
 }
 
 TEST_CASE("where all need more than there is, each gets the same share") {
-    fleet_bench b;
-    b.pool("a", 20);
-    b.pool("b", 4);
-    b.need("a", 1280);
-    b.need("b", 640);
+    simulated_fleet b;
+    b.add_pool("a", 20);
+    b.add_pool("b", 4);
+    b.set_need("a", 1280);
+    b.set_need("b", 640);
     const balance_plan plan = b.plan();
     // Of a's VMs all are busy: the least busy are to be emptied first.
     CHECK(plan.moves.empty());
-    CHECK(plan.clear.size() >= 3);
-    CHECK(plan.clear.size() <= 5);
+    CHECK(plan.vms_to_evacuate.size() >= 3);
+    CHECK(plan.vms_to_evacuate.size() <= 5);
 }
 
 TEST_CASE("a plan tells how many machines no pool wants") {
-    struct situation {
+    struct demand_case {
         std::int64_t cores_a = 0;
         std::int64_t cores_b = 0;
         std::size_t unwanted = 0;
     };
     // Twelve machines of 32 cores. A pool wants two at least, and 1.15 times its need.
-    for (const situation& item :
-         {situation{0, 0, 8}, situation{160, 0, 4}, situation{160, 96, 2}, situation{320, 320, 0}}) {
+    for (const demand_case& item :
+         {demand_case{0, 0, 8}, demand_case{160, 0, 4}, demand_case{160, 96, 2}, demand_case{320, 320, 0}}) {
         INFO("pools need ", item.cores_a, " and ", item.cores_b, " cores");
-        fleet_bench fleet;
-        fleet.pool("a", 4);
-        fleet.pool("b", 4);
+        simulated_fleet fleet;
+        fleet.add_pool("a", 4);
+        fleet.add_pool("b", 4);
         for (int i = 0; i < 4; ++i) {
-            fleet.add("spare", "s" + std::to_string(i));
+            fleet.add_machine("spare", "s" + std::to_string(i));
         }
-        fleet.need("a", item.cores_a);
-        fleet.need("b", item.cores_b);
-        CHECK(fleet.plan().unwanted == item.unwanted);
+        fleet.set_need("a", item.cores_a);
+        fleet.set_need("b", item.cores_b);
+        CHECK(fleet.plan().unneeded_machines == item.unwanted);
     }
 }
 
 TEST_CASE("machines that nobody needs wait in the spare pool, after a pause") {
-    fleet_bench b;
-    b.pool("a", 12);
-    b.need("a", 64);
+    simulated_fleet b;
+    b.add_pool("a", 12);
+    b.set_need("a", 64);
     CHECK(b.plan().moves.empty());
     b.plan();
     CHECK(b.count("a") == 3);
@@ -157,12 +157,12 @@
 }
 
 TEST_CASE("a pool keeps two VMs, and all that host long-running tasks, without any demand") {
-    fleet_bench b;
-    b.pool("a", 10);
-    b.need("a", 0);
+    simulated_fleet b;
+    b.add_pool("a", 10);
+    b.set_need("a", 0);
     for (std::size_t i = 0; i < 5; ++i) {
-        b.demands["a"].vms[i].endless = true;
-        b.demands["a"].vms[i].idle = false;
+        b.demands["a"].vms[i].hosts_long_running = true;
+        b.demands["a"].vms[i].is_idle = false;
     }
     b.plan();
     b.plan();
@@ -170,20 +170,20 @@
 }
 
 TEST_CASE("machines that an upkeep wants, or that are on their way, are left alone") {
-    fleet_bench b;
-    b.pool("a", 4);
-    b.pool("b", 2);
-    b.need("a", 0);
-    b.need("b", 300);
+    simulated_fleet b;
+    b.add_pool("a", 4);
+    b.add_pool("b", 2);
+    b.set_need("a", 0);
+    b.set_need("b", 300);
     for (balance_machine& machine : b.machines) {
-        machine.reserved = machine.pool == "a";
+        machine.is_reserved = machine.pool == "a";
     }
     CHECK(b.plan().moves.empty());
     for (balance_machine& machine : b.machines) {
-        machine.reserved = false;
+        machine.is_reserved = false;
         if (machine.pool == "a") {
             machine.pool = "b";
-            machine.moving = true;
+            machine.is_moving = true;
         }
     }
     CHECK(b.plan().moves.empty());
@@ -193,29 +193,29 @@
     // Four pools in turn ask five times what they hold for ten seconds and a twentieth in between. Replayed
     // second by second; what a pool needs beyond what it holds is work that its callers don't get.
     const std::vector<std::string> pools{"a", "b", "c", "d"};
-    fleet_bench b;
+    simulated_fleet b;
     for (const std::string& pool : pools) {
-        b.pool(pool, 10);
+        b.add_pool(pool, 10);
     }
     for (std::size_t i = 0; i < 8; ++i) {
-        b.add("spare", "s" + std::to_string(i));
+        b.add_machine("spare", "s" + std::to_string(i));
     }
-    std::int64_t asked = 0;
+    std::int64_t requested = 0;
     std::int64_t missing = 0;
     std::int64_t held = 0;
     for (int second = 0; second < 40; ++second) {
         for (std::size_t i = 0; i < pools.size(); ++i) {
-            const bool turn = second / 10 == static_cast<int>(i);
-            const std::int64_t cores = turn ? 800 : 16;
-            b.need(pools[i], cores);
-            asked += cores;
+            const bool at_peak = second / 10 == static_cast<int>(i);
+            const std::int64_t cores = at_peak ? 800 : 16;
+            b.set_need(pools[i], cores);
+            requested += cores;
             missing += std::max<std::int64_t>(0, cores - static_cast<std::int64_t>(b.count(pools[i])) * 32);
             held += static_cast<std::int64_t>(b.count(pools[i]));
         }
         b.plan();
     }
     // Without moves 480 of 800 cores are missing in each second of a turn: 57 % of all that is asked.
-    CHECK(missing * 100 / asked <= 10);
+    CHECK(missing * 100 / requested <= 10);
     // Without moves 1600 VM-seconds are held.
     CHECK(held <= 1500);
     CHECK(b.moves <= 200);
@@ -225,16 +225,16 @@
     // In the first seconds of a turn quotes wait for machines while two hundred of them stand in the spare
     // pool. Machines that are off run no VM; the first one that was ordered away, or had its upkeep, was
     // remembered as "the VM without a name", and all others looked like it.
-    clear_list list;
+    evacuation_list list;
     list.add("spare", "");
     list.add("quotes", "vm-1");
     CHECK(!list.contains("spare", ""));
-    CHECK(list.of("spare").empty());
+    CHECK(list.vms_of_pool("spare").empty());
     CHECK(list.contains("quotes", "vm-1"));
     CHECK(!list.contains("seats", "vm-1"));
-    CHECK(list.all() == std::set<std::string>{"vm-1"});
+    CHECK(list.all_vms() == std::set<std::string>{"vm-1"});
     list.clear();
-    CHECK(list.all().empty());
+    CHECK(list.all_vms().empty());
 }
 
 TEST_CASE("a pool gets machines with the labels that its tasks require") {
@@ -251,17 +251,17 @@
           label_case{"of a pool that does not need them", "idle", 40, 2},
           label_case{"none is needed", "spare", 0, 0}, label_case{"more than there are", "spare", 400, 3}}) {
         INFO(item.what);
-        fleet_bench b;
-        b.pool("forecasts", 4);
-        b.pool("idle", 2);
-        b.add("spare", "s-0");
+        simulated_fleet b;
+        b.add_pool("forecasts", 4);
+        b.add_pool("idle", 2);
+        b.add_machine("spare", "s-0");
         for (const char* machine : {"g-0", "g-1", "g-2"}) {
-            b.add(item.holder, machine, "gpu");
+            b.add_machine(item.holder, machine, "gpu");
         }
-        b.need("forecasts", 100);
-        b.need("idle", 0);
+        b.set_need("forecasts", 100);
+        b.set_need("idle", 0);
         if (item.cores > 0) {
-            b.need_kind("forecasts", "gpu", item.cores);
+            b.add_kind_need("forecasts", "gpu", item.cores);
         }
         b.plan();
         CHECK(b.count_kind("forecasts", "gpu") == item.expected);
@@ -269,11 +269,11 @@
 }
 
 TEST_CASE("machines with a label that is still asked for leave last") {
-    fleet_bench b;
-    b.pool("a", 4);
-    b.add("a", "g-0", "gpu");
-    b.need("a", 0);
-    b.need_kind("a", "gpu", 1);
+    simulated_fleet b;
+    b.add_pool("a", 4);
+    b.add_machine("a", "g-0", "gpu");
+    b.set_need("a", 0);
+    b.add_kind_need("a", "gpu", 1);
     b.plan();
     b.plan();
     CHECK(b.count("a") == 2);
@@ -291,15 +291,15 @@
     for (const size_case& item : {size_case{"alike", 32, 32}, size_case{"the spare ones are smaller", 32, 16},
                                   size_case{"the pool's own are smaller", 16, 32}}) {
         INFO(item.what);
-        fleet_bench b;
-        b.pool("seats", 4);
+        simulated_fleet b;
+        b.add_pool("seats", 4);
         for (int i = 0; i < 30; ++i) {
-            b.add("spare", "s-" + std::to_string(i));
+            b.add_machine("spare", "s-" + std::to_string(i));
         }
-        b.resize("seats", item.held);
-        b.resize("spare", item.spare);
+        b.set_machine_cores("seats", item.held);
+        b.set_machine_cores("spare", item.spare);
         for (int round = 0; round < 4; ++round) {
-            b.need("seats", 320);
+            b.set_need("seats", 320);
             b.plan();
         }
         CHECK(b.cores("seats") >= 320);
@@ -310,22 +310,22 @@
 TEST_CASE("accepted work that is late gets the machines that nobody needs, and none that somebody does") {
     // A burst leaves ninety accepted jobs behind that are late. Their pool asked for nothing more and gave
     // its machines away, so these were never done, while a third of the fleet stood idle.
-    struct situation {
+    struct demand_case {
         const char* what = "";
         std::int64_t other_need = 0; ///< Cores.
         std::size_t expected = 0;    ///< VMs of the pool with late work.
     };
-    for (const situation& item : {situation{"the other pool needs little", 64, 13},
-                                  situation{"the other pool needs nearly all", 32 * 15, 2}}) {
+    for (const demand_case& item : {demand_case{"the other pool needs little", 64, 13},
+                                    demand_case{"the other pool needs nearly all", 32 * 15, 2}}) {
         INFO(item.what);
-        fleet_bench b;
-        b.pool("late", 2);
-        b.pool("other", 2);
-        b.pool("spare", 16);
+        simulated_fleet b;
+        b.add_pool("late", 2);
+        b.add_pool("other", 2);
+        b.add_pool("spare", 16);
         b.demands.erase("spare");
-        b.need("late", 32);
+        b.set_need("late", 32);
         b.demands["late"].late_millicores = 32 * 1000 * 9;
-        b.need("other", item.other_need);
+        b.set_need("other", item.other_need);
         for (int round = 0; round < 4; ++round) {
             b.plan();
         }
--- a/tests/jobs/capacity_test.cpp
+++ b/tests/jobs/capacity_test.cpp
@@ -21,7 +21,7 @@
     void set_cores(std::int64_t present) { bench.pool().list_vm(pool_bench::info("v1", present)); }
 
     /// So many of the runs have ended, the others go on.
-    std::size_t starts_after(std::size_t ended) {
+    std::size_t count_starts_after(std::size_t ended) {
         std::vector<running_report> alive;
         std::vector<end_report> ends;
         for (std::size_t i = 0; i < runs.size(); ++i) {
@@ -61,7 +61,7 @@
         full_vm vm;
         REQUIRE(vm.runs.size() == 4);
         vm.set_cores(item.present);
-        CHECK(vm.starts_after(item.ended) == item.starts);
+        CHECK(vm.count_starts_after(item.ended) == item.starts);
     }
 }
 
--- a/tests/jobs/crash_replay.hpp
+++ b/tests/jobs/crash_replay.hpp
@@ -219,7 +219,7 @@
                 if (&item == &where || id.job != lost.job || id.step != lost.step) {
                     return false;
                 }
-                item.ends.push_back(pool_bench::end(++item.sequence, run.order, run_end::broken));
+                item.ends.push_back(pool_bench::end(++item.sequence, run.order, run_end::gang_member_ended));
                 return true;
             });
         }
@@ -309,10 +309,10 @@
         const job_spec& spec = m_records.at(run.order.task.job).spec;
         const milliseconds age = m_now - run.began;
         if (m_now > item.lease_until) {
-            return run_end::lapsed;
+            return run_end::lease_expired;
         }
         if (spec.steps[run.order.task.step].gang && !is_complete(run.order)) {
-            return age >= gang_timeout ? std::optional(run_end::alone) : std::nullopt;
+            return age >= gang_timeout ? std::optional(run_end::gang_incomplete) : std::nullopt;
         }
         return spec.endless() || age < m_options.run_time ? std::nullopt : std::optional(run_end::done);
     }
@@ -328,7 +328,7 @@
                 return is_member(run.order.task, run.order.attempt);
             }));
             present += static_cast<std::size_t>(std::ranges::count_if(item.ends, [&](const end_report& end) {
-                return end.how == run_end::done && is_member(end.task, end.attempt);
+                return end.outcome == run_end::done && is_member(end.task, end.attempt);
             }));
         }
         return present >= m_records.at(order.task.job).spec.steps[order.task.step].count;
@@ -376,8 +376,9 @@
     void forget_acknowledged(machine& item) {
         const auto known = m_owner->vms().find(item.info.incarnation);
         if (known != m_owner->vms().end()) {
-            std::erase_if(item.ends,
-                          [&](const end_report& end) { return end.sequence <= known->second.acknowledged; });
+            std::erase_if(item.ends, [&](const end_report& end) {
+                return end.sequence <= known->second.last_stored_end;
+            });
         }
     }
 
--- a/tests/jobs/turn_replay.hpp
+++ b/tests/jobs/demand_peak_replay.hpp
@@ -10,17 +10,17 @@
 
 /// Replays a turn of demand on a pool's scheduler in steps of 100 ms: callers hand in quotes of eight tasks
 /// of one second, the pool judges each, and its VMs of 32 cores run what it starts.
-class turn_replay {
+class demand_peak_replay {
   public:
     /// How the callers' jobs ended.
     struct result {
-        int asked = 0;
-        int in_time = 0; ///< Within 1.6 times their second of work, and 600 ms.
-        int late = 0;    ///< Within three times that: still of some use.
-        int useless = 0; ///< Later, or never.
+        int submitted = 0;
+        int in_time = 0;  ///< Within 1.6 times their second of work, and 600 ms.
+        int late = 0;     ///< Within three times that: still of some use.
+        int too_late = 0; ///< Later, or never.
     };
 
-    turn_replay() {
+    demand_peak_replay() {
         add_vm("v1");
         add_vm("v2");
     }
@@ -33,10 +33,10 @@
     }
 
     /// Passes a step in which so many jobs are handed in.
-    void step(int jobs) {
+    void advance(int jobs) {
         m_bench.pass(100ms);
         for (int i = 0; i < jobs; ++i) {
-            hand_in("j" + std::to_string(m_result.asked++));
+            submit("j" + std::to_string(m_result.submitted++));
         }
         for (const std::string& vm : m_vms) {
             report(vm);
@@ -45,13 +45,13 @@
         for (const start_order& order : m_bench.start_all()) {
             m_running.emplace_back(m_bench.now(), order);
         }
-        note_completed();
+        record_completed();
     }
 
     /// What came of the jobs so far; those that are accepted and not done count as useless.
-    [[nodiscard]] result ended() const {
+    [[nodiscard]] result results() const {
         result present = m_result;
-        present.useless += static_cast<int>(m_accepted.size());
+        present.too_late += static_cast<int>(m_accepted.size());
         return present;
     }
     [[nodiscard]] int refused() const { return m_refused; }
@@ -59,7 +59,7 @@
   private:
     static constexpr milliseconds objective = 2200ms;
 
-    void hand_in(const std::string& id) {
+    void submit(const std::string& id) {
         const job_record record = pool_bench::record(id, {pool_bench::step(8)});
         if (!m_bench.pool().judge(record.spec).accepted) {
             ++m_refused;
@@ -87,7 +87,7 @@
         m_bench.report(vm, alive, ended);
     }
 
-    void note_completed() {
+    void record_completed() {
         std::erase_if(m_accepted, [&](const auto& item) {
             if (m_bench.pool().phase_of(item.first) != job_phase::completed) {
                 return false;
@@ -95,7 +95,7 @@
             const milliseconds took = m_bench.now() - item.second;
             ++(took <= objective       ? m_result.in_time
                : took <= 3 * objective ? m_result.late
-                                       : m_result.useless);
+                                       : m_result.too_late);
             return true;
         });
     }
--- a/tests/jobs/order_test.cpp
+++ b/tests/jobs/order_test.cpp
@@ -1,11 +1,11 @@
-#include "jobs/turn_replay.hpp"
+#include "jobs/demand_peak_replay.hpp"
 
 using namespace siskinpaddle;
 using namespace siskinpaddle::tests;
 
 namespace {
 
-queue_settings quotes() {
+queue_settings quote_queue() {
     queue_settings queue;
     queue.name = "q";
     queue.pool = "p";
@@ -27,20 +27,20 @@
 
 TEST_CASE("a job is accepted if it can end within its objective behind the work that waits") {
     // Objective of a job of one second: 1.6 s + 0.6 s, so 1.2 s may be spent waiting.
-    struct situation {
+    struct admission_case {
         const char* what = "";
         pool_load load;
         bool accepted = false;
     };
     const job_spec job = pool_bench::record("j", {pool_bench::step(8)}).spec;
-    for (const situation& item :
-         {situation{"nothing waits", load(0, 64), true},
-          situation{"one second of work waits", load(64, 64), true},
-          situation{"three seconds of work wait", load(192, 64), false},
-          situation{"the same, with twice the machines on their way", load(192, 64, 128), true},
-          situation{"no VM takes work", load(0, 0), false}}) {
+    for (const admission_case& item :
+         {admission_case{"nothing waits", load(0, 64), true},
+          admission_case{"one second of work waits", load(64, 64), true},
+          admission_case{"three seconds of work wait", load(192, 64), false},
+          admission_case{"the same, with twice the machines on their way", load(192, 64, 128), true},
+          admission_case{"no VM takes work", load(0, 0), false}}) {
         INFO(item.what);
-        const admission_verdict verdict = admit(job, quotes(), 1000, item.load);
+        const admission_verdict verdict = admit(job, quote_queue(), 1000, item.load);
         CHECK(verdict.accepted == item.accepted);
         CHECK((verdict.accepted || (verdict.retry_after >= 1s && verdict.retry_after <= 5s)));
     }
@@ -49,11 +49,11 @@
 TEST_CASE("long-running jobs are accepted whatever the load") {
     job_record record = pool_bench::record("j", {pool_bench::step(2)});
     record.spec.steps[0].endless = true;
-    CHECK(admit(record.spec, quotes(), 0, load(1000, 64)).accepted);
+    CHECK(admit(record.spec, quote_queue(), 0, load(1000, 64)).accepted);
 }
 
 TEST_CASE("jobs that can still be in time go before those that are late") {
-    const queue_settings queue = quotes();
+    const queue_settings queue = quote_queue();
     const job_state early(pool_bench::record("a", {pool_bench::step(1)}).spec, timestamp(0));
     const job_state late(pool_bench::record("b", {pool_bench::step(1)}).spec, timestamp(2000));
     CHECK(rank_of(early, queue, early.accepted_at(), timestamp(2100)) <
@@ -67,70 +67,71 @@
     // Recorded from a day of turns: quotes of eight tasks of one second, for ten seconds at five times what
     // the pool's 64 cores hold. First come, first served: after two seconds every quote ends late, and the
     // callers have left.
-    turn_replay turn;
+    demand_peak_replay replay;
     for (int step = 0; step < 180; ++step) {
-        turn.step(step < 100 ? 4 : 0); // Forty jobs of eight core-seconds a second.
+        replay.advance(step < 100 ? 4 : 0); // Forty jobs of eight core-seconds a second.
     }
-    const turn_replay::result ended = turn.ended();
-    MESSAGE("asked ", ended.asked, ", in time ", ended.in_time, ", late ", ended.late);
+    const demand_peak_replay::result ended = replay.results();
+    MESSAGE("asked ", ended.submitted, ", in time ", ended.in_time, ", late ", ended.late);
     // The pool can finish eight jobs a second: 80 in the turn, and what it had taken when it ended.
     CHECK(ended.in_time >= 65);
     CHECK(ended.late <= ended.in_time / 3);
-    CHECK(ended.useless == 0);
+    CHECK(ended.too_late == 0);
 }
 
 TEST_CASE("in a turn's first seconds nobody is turned away for whom machines can be had") {
     // Callers are told "overloaded" and come to nothing while two dozen machines stand idle: a turn begins at
     // three times the room of a pool that holds two VMs, and for the two seconds that its machines take to
     // come it judged by the VMs that it had. A refusal means never here, since its caller has no time left.
-    constexpr int machines_come = 25; // In steps of 100 ms.
-    constexpr int turn_ends = 60;
+    constexpr int machines_arrive_at = 25; // In steps of 100 ms.
+    constexpr int peak_ends_at = 60;
     struct outcome {
-        turn_replay::result ended;
+        demand_peak_replay::result ended;
         int refused = 0;
     };
-    const auto play = [](std::size_t obtainable) {
-        turn_replay turn;
-        turn.bench().pool().expect_vms(0, obtainable);
+    const auto run_replay = [](std::size_t obtainable) {
+        demand_peak_replay replay;
+        replay.bench().pool().expect_vms(0, obtainable);
         for (int step = 0; step < 120; ++step) {
-            if (step == machines_come) {
+            if (step == machines_arrive_at) {
                 for (int i = 0; i < 6; ++i) {
-                    turn.add_vm("w" + std::to_string(i));
+                    replay.add_vm("w" + std::to_string(i));
                 }
-                turn.bench().pool().expect_vms(0, obtainable - std::min<std::size_t>(obtainable, 6));
+                replay.bench().pool().expect_vms(0, obtainable - std::min<std::size_t>(obtainable, 6));
             }
-            turn.step(step < turn_ends ? 2 + step % 2 : 0); // 25 jobs of eight core-seconds a second.
+            replay.advance(step < peak_ends_at ? 2 + step % 2 : 0); // 25 jobs of eight core-seconds a second.
         }
-        return outcome{turn.ended(), turn.refused()};
+        return outcome{replay.results(), replay.refused()};
     };
-    const outcome without = play(0);
-    const outcome with = play(24);
+    const outcome without = run_replay(0);
+    const outcome with = run_replay(24);
     MESSAGE("refused ", without.refused, " and ", with.refused, ", in time ", without.ended.in_time, " and ",
             with.ended.in_time, ", late ", with.ended.late);
     CHECK(without.refused > 0);
     CHECK(with.refused == 0);
-    CHECK(with.ended.useless == 0);
+    CHECK(with.ended.too_late == 0);
     CHECK(with.ended.in_time >= without.ended.in_time);
 }
 
 TEST_CASE("a job that will be late is accepted only if machines that nobody wants let it be of use") {
     // Objective of a job of one second: 2.2 s; of some use up to three times that.
-    struct situation {
+    struct admission_case {
         const char* what = "";
         std::int64_t waiting_core_s = 0;
         std::int64_t obtainable_cores = 0;
         bool accepted = false;
     };
     const job_spec job = pool_bench::record("j", {pool_bench::step(8)}).spec;
-    for (const situation& item :
-         {situation{"none can be had", 192, 0, false}, situation{"as many again can be had", 192, 64, true},
-          situation{"a few can be had, too few for all that waits", 640, 16, false},
-          situation{"many can be had, after which there is no more wait", 640, 512, true},
-          situation{"it would end in time anyway", 64, 0, true}}) {
+    for (const admission_case& item :
+         {admission_case{"none can be had", 192, 0, false},
+          admission_case{"as many again can be had", 192, 64, true},
+          admission_case{"a few can be had, too few for all that waits", 640, 16, false},
+          admission_case{"many can be had, after which there is no more wait", 640, 512, true},
+          admission_case{"it would end in time anyway", 64, 0, true}}) {
         INFO(item.what);
         pool_load present = load(item.waiting_core_s, 64);
         present.obtainable_millicores = item.obtainable_cores * 1000;
-        CHECK(admit(job, quotes(), 1000, present).accepted == item.accepted);
+        CHECK(admit(job, quote_queue(), 1000, present).accepted == item.accepted);
     }
 }
 
@@ -139,11 +140,11 @@
     // are late, and each new job that could still be in time goes before them, for the rest of the day.
     const job_spec job = pool_bench::record("j", {pool_bench::step(8)}).spec;
     pool_load present = load(70, 64); // With all of the room 1.1 s of waiting, of 1.2 s that are allowed.
-    CHECK(admit(job, quotes(), 1000, present).accepted);
+    CHECK(admit(job, quote_queue(), 1000, present).accepted);
     present.late_work = 1'000'000'000;
-    CHECK(!admit(job, quotes(), 1000, present).accepted);
+    CHECK(!admit(job, quote_queue(), 1000, present).accepted);
     present.waiting_work = 48 * 1'000'000; // One second for three quarters of the room.
-    CHECK(admit(job, quotes(), 1000, present).accepted);
+    CHECK(admit(job, quote_queue(), 1000, present).accepted);
 }
 
 TEST_CASE("a turn that rises over seconds has its machines asked for ahead") {
@@ -154,10 +155,10 @@
     timestamp now(10'000);
     std::map<int, double> need; // By tenth of a second, in cores.
     const auto rate_at = [](int tenth) { return std::clamp(4.0 * (tenth - 10), 2.0, 160.0); };
-    double due = 0;
+    double arrivals_due = 0;
     for (int tenth = 0; tenth < 100; ++tenth) {
-        due += rate_at(tenth) / 10;
-        for (; due >= 1; due -= 1) {
+        arrivals_due += rate_at(tenth) / 10;
+        for (; arrivals_due >= 1; arrivals_due -= 1) {
             meter.arrived("j" + std::to_string(number++), 30'000'000, now); // Thirty core-seconds.
         }
         now += 100ms;
--- a/tests/jobs/pace_test.cpp
+++ b/tests/jobs/pace_test.cpp
@@ -6,12 +6,12 @@
 namespace {
 
 /// One VM with a serving task and a neighbour that lives on leftover processor time.
-struct neighbours {
+struct shared_vm_fixture {
     pool_bench b;
     start_order serving;
     start_order leftover;
 
-    neighbours() {
+    shared_vm_fixture() {
         b.vm("v1");
         step_spec first = pool_bench::step(1);
         first.endless = true;
@@ -26,7 +26,7 @@
     }
 
     /// Reports the serving task's tail and returns the pace that is ordered for the neighbour; -1: none.
-    int tail(std::int64_t ms) {
+    int report_tail(std::int64_t ms) {
         b.pass(400ms);
         running_report report = pool_bench::running(serving);
         report.usage = ms;
@@ -40,17 +40,17 @@
 
 TEST_CASE("leftover work is slowed before the serving task beside it misses its target, and raised slowly") {
     // A portal's answers take twice their target for as long as a night batch runs beside it.
-    neighbours n;
-    CHECK(n.tail(20) == -1);
-    CHECK(n.tail(80) == 50);
-    CHECK(n.tail(80) == 25);
-    CHECK(n.tail(120) == 0);
-    CHECK(n.tail(60) == -1);
-    CHECK(n.tail(20) == 20);
-    CHECK(n.tail(20) == 40);
+    shared_vm_fixture n;
+    CHECK(n.report_tail(20) == -1);
+    CHECK(n.report_tail(80) == 50);
+    CHECK(n.report_tail(80) == 25);
+    CHECK(n.report_tail(120) == 0);
+    CHECK(n.report_tail(60) == -1);
+    CHECK(n.report_tail(20) == 20);
+    CHECK(n.report_tail(20) == 40);
 }
 
 TEST_CASE("leftover work takes no capacity of its VM") {
-    neighbours n;
+    shared_vm_fixture n;
     CHECK(n.b.pool().vms().at("v1").used().cpu_millicores == 1000);
 }
--- a/tests/jobs/queue_count_test.cpp
+++ b/tests/jobs/queue_count_test.cpp
@@ -11,22 +11,28 @@
     // not what it knew to lie in the inbox, or could not know.
     struct count_case {
         const char* what = "";
-        count_basis known;
-        std::optional<std::size_t> told;
+        queue_count_inputs known;
+        std::optional<std::size_t> expected;
     };
     for (const count_case& item : {
-             count_case{"nothing waits", {.certain_owner = true}, 0},
-             count_case{"jobs lie in the inbox", {.taken = 29, .in_inbox = 88, .certain_owner = true}, 117},
-             count_case{"a write has no answer", {.taken = 1, .unsettled = 2, .certain_owner = true}, 3},
+             count_case{"nothing waits", {.is_confirmed_owner = true}, 0},
+             count_case{"jobs lie in the inbox",
+                        {.in_scheduler = 29, .in_inbox = 88, .is_confirmed_owner = true},
+                        117},
+             count_case{"a write has no answer",
+                        {.in_scheduler = 1, .unconfirmed = 2, .is_confirmed_owner = true},
+                        3},
              count_case{"the copy of the inbox is as old as may be",
-                        {.taken = 1, .inbox_age = oldest_count, .certain_owner = true},
+                        {.in_scheduler = 1, .inbox_age = max_count_age, .is_confirmed_owner = true},
                         1},
              count_case{"the copy of the inbox is older",
-                        {.taken = 29, .inbox_age = oldest_count + 1ms, .certain_owner = true},
+                        {.in_scheduler = 29, .inbox_age = max_count_age + 1ms, .is_confirmed_owner = true},
+                        std::nullopt},
+             count_case{"another node may own the pool",
+                        {.in_scheduler = 29, .is_confirmed_owner = false},
                         std::nullopt},
-             count_case{"another node may own the pool", {.taken = 29, .certain_owner = false}, std::nullopt},
          }) {
         INFO(std::string(item.what));
-        CHECK(whole_count(item.known) == item.told);
+        CHECK(complete_queue_count(item.known) == item.expected);
     }
 }
--- a/tests/jobs/scheduler_test.cpp
+++ b/tests/jobs/scheduler_test.cpp
@@ -31,10 +31,10 @@
     CHECK(last[0].task.step == 1);
     b.report("v1", {}, {b.end(3, last[0], run_end::done)});
     CHECK(b.pool().phase_of("j") == job_phase::running);
-    CHECK(b.pool().vms().at("v1").acknowledged == 0);
+    CHECK(b.pool().vms().at("v1").last_stored_end == 0);
     b.store();
     CHECK(b.pool().phase_of("j") == job_phase::completed);
-    CHECK(b.pool().vms().at("v1").acknowledged == 3);
+    CHECK(b.pool().vms().at("v1").last_stored_end == 3);
 }
 
 TEST_CASE("an adopted run is not taken for lapsed before its VM's first renewal") {
@@ -243,7 +243,7 @@
 }
 
 TEST_CASE("a long-running task starts again however it ends") {
-    for (const run_end how : {run_end::done, run_end::failed, run_end::lapsed, run_end::stopped}) {
+    for (const run_end how : {run_end::done, run_end::failed, run_end::lease_expired, run_end::stopped}) {
         pool_bench b;
         b.vm("v1");
         b.job("j", {lasting(1, 1)});
@@ -323,7 +323,7 @@
     b.job("k", {pool_bench::step(8)});
     b.start_all();
     const pool_demand demand = b.pool().demand(b.now());
-    CHECK(std::ranges::count_if(demand.vms, &vm_load::idle) == 3);
+    CHECK(std::ranges::count_if(demand.vms, &vm_load::is_idle) == 3);
 }
 
 TEST_CASE("an adopted run that ends does not free its task while the old owner may still act elsewhere") {
@@ -359,10 +359,10 @@
     CHECK_FALSE(b.pool().is_settled("v1"));
     b.report("v1", {}, {b.end(1, order, run_end::done)});
     CHECK_FALSE(b.pool().is_settled("v1"));
-    CHECK_FALSE(b.pool().demand(b.now()).vms.at(0).idle);
+    CHECK_FALSE(b.pool().demand(b.now()).vms.at(0).is_idle);
     b.store();
     CHECK(b.pool().is_settled("v1"));
-    CHECK(b.pool().demand(b.now()).vms.at(0).idle);
+    CHECK(b.pool().demand(b.now()).vms.at(0).is_idle);
 }
 
 TEST_CASE("a VM that a new owner has not heard of is not free to go") {
@@ -372,7 +372,7 @@
     pool_bench b(1);
     b.pool().expect_vm(b.info("v1"));
     CHECK_FALSE(b.pool().is_settled("v1"));
-    CHECK_FALSE(b.pool().demand(b.now()).vms.at(0).idle);
+    CHECK_FALSE(b.pool().demand(b.now()).vms.at(0).is_idle);
     b.report("v1", {});
     CHECK(b.pool().is_settled("v1"));
 }
--- a/tests/jobs/start_window_test.cpp
+++ b/tests/jobs/start_window_test.cpp
@@ -9,7 +9,7 @@
 constexpr std::uint32_t many_tasks = 640;
 
 /// Twenty VMs of 32 cores with room for all tasks of one job.
-pool_bench pool_with_room() {
+pool_bench pool_with_free_capacity() {
     pool_bench b;
     for (std::size_t i = 0; i < many_vms; ++i) {
         b.vm("v" + std::to_string(i));
@@ -30,12 +30,12 @@
     // at once, the owner sent them 668 starts in one turn, and its link of 2 Mbit/s took three seconds for
     // these: all timed out, were stopped and sent anew, and the owner's own lease renewal timed out behind
     // them.
-    pool_bench b = pool_with_room();
+    pool_bench b = pool_with_free_capacity();
     const start_window_settings settings;
     std::size_t started = 0;
-    for (int turn = 0; turn < 100 && started < many_tasks; ++turn) {
+    for (int round = 0; round < 100 && started < many_tasks; ++round) {
         const decisions wanted = b.decide();
-        CHECK(bytes_of(wanted.starts) <= settings.most_bytes + settings.overhead_bytes + 7);
+        CHECK(bytes_of(wanted.starts) <= settings.max_bytes_in_flight + settings.overhead_bytes + 7);
         CHECK(!wanted.starts.empty());
         started += wanted.starts.size();
         for (const start_order& order : wanted.starts) {
@@ -46,7 +46,7 @@
 }
 
 TEST_CASE("starts that wait for answers are decided on again when half of them are answered") {
-    pool_bench b = pool_with_room();
+    pool_bench b = pool_with_free_capacity();
     const std::vector<start_order> first = b.decide().starts;
     REQUIRE(first.size() < many_tasks);
     CHECK(b.decide().starts.empty());
@@ -61,10 +61,10 @@
 TEST_CASE("VMs that don't answer hold the starts of others up for a moment only") {
     // A rack loses power while a turn of demand begins. The starts on their way to it are never answered; the
     // rest of the pool must not wait for their timeout.
-    pool_bench b = pool_with_room();
+    pool_bench b = pool_with_free_capacity();
     const std::size_t first = b.decide().starts.size();
     REQUIRE(first < many_tasks);
-    b.pass(start_window_settings{}.answer_patience + 1ms);
+    b.pass(start_window_settings{}.answer_timeout + 1ms);
     CHECK(b.decide().starts.size() == first);
 }
 
@@ -93,11 +93,11 @@
     // Callers are told that their jobs are accepted and wait for six seconds, while other pools lack the VMs
     // that idle here: the pool has room for all that waits, but its owner's link lets out a fifth of the
     // starts that would fill it. Counted by room the queue looks short, and further VMs seem to help.
-    pool_bench b = pool_with_room();
-    const std::int64_t room = b.pool().load().usable_millicores;
+    pool_bench b = pool_with_free_capacity();
+    const std::int64_t capacity = b.pool().load().usable_millicores;
     b.job("k", {pool_bench::step(many_tasks)});
     std::vector<start_order> unanswered;
-    for (int turn = 0; turn < 6; ++turn) {
+    for (int round = 0; round < 6; ++round) {
         const std::vector<start_order> starts = b.decide().starts;
         unanswered.insert(unanswered.end(), starts.begin(), starts.end());
         b.pass(100ms);
@@ -110,14 +110,14 @@
     }
     const pool_load load = b.pool().load();
     REQUIRE(load.sustained_millicores);
-    CHECK(*load.sustained_millicores < room);
+    CHECK(*load.sustained_millicores < capacity);
     CHECK(load.wait().count() == load.waiting_work / *load.sustained_millicores);
     CHECK(b.pool().demand(b.now()).need_millicores <= *load.sustained_millicores);
 }
 
 TEST_CASE("a burst that goes out at once says nothing about a rate") {
-    pool_bench b = pool_with_room();
-    for (int turn = 0; turn < 20; ++turn) {
+    pool_bench b = pool_with_free_capacity();
+    for (int round = 0; round < 20; ++round) {
         b.start_all();
         b.pass(5ms);
     }
--- a/tests/jobs/vm_end_test.cpp
+++ b/tests/jobs/vm_end_test.cpp
@@ -11,7 +11,7 @@
     };
     const std::array rows{row{"another life at its address", vm_end_cause::replaced, 3600ms},
                           row{"moved by its machine's owner", vm_end_cause::ordered, 100ms},
-                          row{"silent past its lease", vm_end_cause::lapsed, 6500ms}};
+                          row{"silent past its lease", vm_end_cause::lease_expired, 6500ms}};
     for (const row& item : rows) {
         INFO(std::string(item.name));
         pool_bench b;
@@ -24,7 +24,7 @@
         b.pass(12ms);
         b.pool().vm_unreachable("v1", b.now());
         b.pass(item.passed);
-        if (item.cause != vm_end_cause::lapsed) {
+        if (item.cause != vm_end_cause::lease_expired) {
             b.pool().vm_gone("v1", item.cause, b.now());
         }
         const std::vector<vm_end> ended = b.decide().ended_vms;
@@ -32,7 +32,7 @@
         CHECK(ended[0].vm == "v1");
         CHECK(ended[0].machine == "m-v1");
         CHECK(ended[0].cause == item.cause);
-        CHECK(b.now() - ended[0].silent_from == item.passed);
+        CHECK(b.now() - ended[0].unresponsive_since == item.passed);
         REQUIRE(ended[0].runs.size() == 2);
         CHECK(ended[0].runs[0] == ended_run{starts[0].task, 1, 12ms, true});
     }
--- a/tests/jobs/vm_record_test.cpp
+++ b/tests/jobs/vm_record_test.cpp
@@ -11,25 +11,25 @@
     // them off its list, and the new owner waited for each.
     struct record_case {
         const char* what = "";
-        record_view vm;
+        vm_record_inputs vm;
         bool recorded = false;
     };
     for (const record_case& item : {
              record_case{"just listed", {}, true},
-             record_case{"something runs there", {.settled = false, .recorded = true}, true},
+             record_case{"something runs there", {.is_idle = false, .recorded = true}, true},
              record_case{
-                 "something runs there while it is emptied", {.settled = false, .clearing = true}, true},
+                 "something runs there while it is emptied", {.is_idle = false, .evacuating = true}, true},
              record_case{
-                 "something may run there, no longer listed", {.listed = false, .settled = false}, true},
-             record_case{"something may run there, silent", {.settled = false, .reachable = false}, true},
-             record_case{"empty, to be ordered away", {.clearing = true, .recorded = true}, false},
+                 "something may run there, no longer listed", {.listed = false, .is_idle = false}, true},
+             record_case{"something may run there, silent", {.is_idle = false, .reachable = false}, true},
+             record_case{"empty, to be ordered away", {.evacuating = true, .recorded = true}, false},
              record_case{"empty, no longer listed", {.listed = false, .recorded = true}, false},
              record_case{"silent, its lease may run", {.reachable = false, .recorded = true}, true},
              record_case{"silent for longer than its lease",
-                         {.reachable = false, .lapsed = true, .recorded = true},
+                         {.reachable = false, .lease_expired = true, .recorded = true},
                          false},
              record_case{"has left the record and does not answer", {.reachable = false}, false},
-             record_case{"has left the record and answers again", {.lapsed = true}, true},
+             record_case{"has left the record and answers again", {.lease_expired = true}, true},
          }) {
         INFO(item.what);
         CHECK(belongs_in_record(item.vm) == item.recorded);
@@ -38,8 +38,8 @@
 
 namespace {
 
-vm_record::entries record_of(std::initializer_list<const char*> names) {
-    vm_record::entries result;
+vm_record::vms_by_incarnation record_of(std::initializer_list<const char*> names) {
+    vm_record::vms_by_incarnation result;
     for (const char* name : names) {
         vm_info info;
         info.incarnation = name;
@@ -65,26 +65,26 @@
     // VM was no longer wanted elsewhere, looked recorded and got the task; then the write was carried out,
     // and the next owner did not wait for the VM.
     vm_record record = stored({"a", "b"});
-    record.begin(record_of({"b", "c"}));
+    record.begin_write(record_of({"b", "c"}));
     for (const bool answered : {false, true}) { // On its way, and then without an answer.
-        CHECK_FALSE(record.names("a"));
-        CHECK(record.may_name("a"));
-        CHECK(record.names("b"));
-        CHECK_FALSE(record.names("c"));
-        CHECK(record.may_name("c"));
-        CHECK_FALSE(record.certain());
+        CHECK_FALSE(record.contains("a"));
+        CHECK(record.may_contain("a"));
+        CHECK(record.contains("b"));
+        CHECK_FALSE(record.contains("c"));
+        CHECK(record.may_contain("c"));
+        CHECK_FALSE(record.is_confirmed());
         if (!answered) {
-            record.unanswered();
+            record.write_unanswered();
         }
     }
-    record.begin(record_of({"a", "b"}));
-    CHECK_FALSE(record.names("a")); // The first write may still be the one that holds.
-    CHECK(record.may_name("c"));
+    record.begin_write(record_of({"a", "b"}));
+    CHECK_FALSE(record.contains("a")); // The first write may still be the one that holds.
+    CHECK(record.may_contain("c"));
     CHECK(record.revision() == 7);
-    record.succeeded(9);
-    CHECK(record.names("a"));
-    CHECK_FALSE(record.may_name("c"));
-    CHECK(record.certain());
+    record.write_succeeded(9);
+    CHECK(record.contains("a"));
+    CHECK_FALSE(record.may_contain("c"));
+    CHECK(record.is_confirmed());
     CHECK(record.revision() == 9);
 }
 
@@ -98,21 +98,21 @@
         std::int64_t revision = 0;
     };
     for (const end_case& item : {
-             end_case{"carried out", [](vm_record& r) { r.succeeded(8); }, true, true, false, 8},
-             end_case{"refused", [](vm_record& r) { r.refused(); }, true, false, true, 7},
-             end_case{"not answered", [](vm_record& r) { r.unanswered(); }, false, false, true, 7},
-             end_case{"an earlier one was carried out", [](vm_record& r) { r.conflicted(8); }, false, false,
-                      true, 8},
+             end_case{"carried out", [](vm_record& r) { r.write_succeeded(8); }, true, true, false, 8},
+             end_case{"refused", [](vm_record& r) { r.write_refused(); }, true, false, true, 7},
+             end_case{"not answered", [](vm_record& r) { r.write_unanswered(); }, false, false, true, 7},
+             end_case{"an earlier one was carried out", [](vm_record& r) { r.write_conflicted(8); }, false,
+                      false, true, 8},
          }) {
         INFO(item.what);
         vm_record record = stored({"old"});
-        record.begin(record_of({"new"}));
-        CHECK(record.writing());
+        record.begin_write(record_of({"new"}));
+        CHECK(record.is_writing());
         item.end(record);
-        CHECK_FALSE(record.writing());
-        CHECK(record.certain() == item.certain);
-        CHECK(record.names("new") == item.names_new);
-        CHECK(record.may_name("old") == item.may_name_old);
+        CHECK_FALSE(record.is_writing());
+        CHECK(record.is_confirmed() == item.certain);
+        CHECK(record.contains("new") == item.names_new);
+        CHECK(record.may_contain("old") == item.may_name_old);
         CHECK(record.revision() == item.revision);
     }
 }
--- a/tests/jobs/work_gauge_test.cpp
+++ b/tests/jobs/work_gauge_test.cpp
@@ -5,8 +5,8 @@
 
 TEST_CASE("a need counts by the resource that it takes the largest share of") {
     work_gauge gauge;
-    gauge.saw_vm({32'000, 64'000, 4});
-    gauge.saw_vm({16'000, 64'000, 4}); // A smaller one changes nothing.
+    gauge.record_vm_capacity({32'000, 64'000, 4});
+    gauge.record_vm_capacity({16'000, 64'000, 4}); // A smaller one changes nothing.
     struct need_case {
         const char* what = "";
         resources need;
@@ -16,19 +16,19 @@
          {need_case{"processor", {4000, 2000, 0}, 4000}, need_case{"memory", {4000, 16'000, 0}, 8000},
           need_case{"accelerators", {4000, 2000, 2}, 16'000}}) {
         INFO(item.what);
-        CHECK(gauge.millicores(item.need) == item.millicores);
+        CHECK(gauge.equivalent_millicores(item.need) == item.millicores);
     }
-    CHECK(work_gauge().millicores({4000, 16'000, 2}) == 4000); // No VM is known yet.
+    CHECK(work_gauge().equivalent_millicores({4000, 16'000, 2}) == 4000); // No VM is known yet.
 }
 
 TEST_CASE("the time factor follows what tasks really take, within bounds") {
     work_gauge gauge;
     CHECK(gauge.time_factor("q") == 1);
-    gauge.book("q", 1000, 1500ms);
+    gauge.record_task("q", 1000, 1500ms);
     CHECK(gauge.time_factor("q") == doctest::Approx(11'500.0 / 11'000));
     for (int i = 0; i < 1000; ++i) {
-        gauge.book("q", 1000, 1500ms);
-        gauge.book("slow", 100, 5000ms);
+        gauge.record_task("q", 1000, 1500ms);
+        gauge.record_task("slow", 100, 5000ms);
     }
     CHECK(gauge.time_factor("q") == doctest::Approx(1.5).epsilon(0.05));
     CHECK(gauge.time_factor("slow") == 2.5);
@@ -115,7 +115,7 @@
         const std::string id = "s" + std::to_string(number++);
         b.job(id, {step});
         const std::vector<start_order> starts = b.start_all();
-        CHECK(b.pool().demand(b.now()).least_vms == item.least_vms);
+        CHECK(b.pool().demand(b.now()).min_vms == item.least_vms);
         b.pool().cancel(id, b.now());
         std::map<std::string, std::vector<end_report>> ended;
         for (const start_order& order : starts) {
@@ -145,12 +145,12 @@
     for (const start_order& order : starts) {
         b.report(order.vm, {pool_bench::running(order)});
     }
-    CHECK(b.pool().demand(b.now()).least_vms == 0);
+    CHECK(b.pool().demand(b.now()).min_vms == 0);
     b.pool().cordon(starts[0].vm, true);
     CHECK(b.decide().stops.size() == 1);
     b.report(starts[0].vm, {}, {pool_bench::end(1, starts[0], run_end::stopped)});
     CHECK(b.decide().starts.empty());
-    CHECK(b.pool().demand(b.now()).least_vms == 3); // The two that may take work, and one for the task.
+    CHECK(b.pool().demand(b.now()).min_vms == 3); // The two that may take work, and one for the task.
 }
 
 TEST_CASE("a pool asks for VMs with the label that its tasks require, also for those that are late") {
--- a/tests/node/fleet_test.cpp
+++ b/tests/node/fleet_test.cpp
@@ -51,11 +51,11 @@
 node::peer_answer full_pool() {
     node::peer_answer answer = node::answer_of(node::peer_outcome::ok);
     answer.demand.need_millicores = 64'000;
-    answer.demand.keep_millicores = 64'000;
+    answer.demand.retained_millicores = 64'000;
     for (const char* name : {"vm-m1", "vm-m2"}) {
         jobs::vm_load vm;
         vm.vm = name;
-        vm.usable = true;
+        vm.is_usable = true;
         vm.used_millicores = 8000;
         answer.demand.vms.push_back(vm);
     }
--- a/tests/platform/records_test.cpp
+++ b/tests/platform/records_test.cpp
@@ -181,12 +181,12 @@
         {"name":"b","host":"h","prefix":"/x/y/","service":"s"},{"name":"c","host":"g","prefix":"/x/","service":"t"}],
         "services":[{"name":"s"},{"name":"t","headroom":true}]})");
     REQUIRE(configuration.has_value());
-    CHECK(configuration->match("h", "/x/y/1")->name == "b");
-    CHECK(configuration->match("h", "/x/z")->name == "a");
-    CHECK(configuration->match("g", "/x/y/1")->name == "c");
-    CHECK(configuration->match("other", "/x/1") == nullptr);
-    CHECK(configuration->pool("t")->spare);
-    CHECK(configuration->working_pools() == std::vector<std::string>{"s", "t"});
+    CHECK(configuration->match_queue("h", "/x/y/1")->name == "b");
+    CHECK(configuration->match_queue("h", "/x/z")->name == "a");
+    CHECK(configuration->match_queue("g", "/x/y/1")->name == "c");
+    CHECK(configuration->match_queue("other", "/x/1") == nullptr);
+    CHECK(configuration->find_pool("t")->is_spare);
+    CHECK(configuration->pools_with_queues() == std::vector<std::string>{"s", "t"});
 }
 
 TEST_CASE("a configuration or wave that can't be read whole is none") {
@@ -267,8 +267,8 @@
     const auto decoded_configuration = decode_configuration(encode_configuration(configuration));
     REQUIRE(decoded_configuration);
     CHECK(encode_configuration(*decoded_configuration) == encode_configuration(configuration));
-    CHECK(decoded_configuration->queues[0].advice->valid == 5s);
-    CHECK(decoded_configuration->pools[1].spare);
+    CHECK(decoded_configuration->queues[0].advice->ticket_validity == 5s);
+    CHECK(decoded_configuration->pools[1].is_spare);
 
     jobs::job_spec job;
     job.payload = "s";
