--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -30,7 +30,7 @@
             vm.incarnation = "v" + std::to_string(i);
             vm.machine = "m" + std::to_string(i);
             vm.capacity = {vm_millicores, 65'536, 0};
-            m_pool.list_vm(vm);
+            m_pool.add_or_update_vm(vm);
             m_ends[vm.incarnation] = {};
         }
         report();
@@ -71,7 +71,7 @@
         record.spec.steps = {step};
         job_progress progress;
         for (std::uint32_t i = 0; suspected && i < tasks_each; ++i) {
-            progress.crashes[i] = {{"gone", evidence_kind::shared, vm_fate::ended, 10}};
+            progress.crashes[i] = {{"gone", evidence_kind::shared, end_certainty::ended, 10}};
         }
         m_pool.restore_job(record, progress, m_now);
     }
@@ -79,7 +79,7 @@
     void start(const std::vector<start_order>& starts) {
         for (const start_order& order : starts) {
             m_runs[order.vm].push_back({order, m_now});
-            m_pool.start_answered(order, order_outcome::accepted, m_now.count(), m_now);
+            m_pool.handle_start_answer(order, order_outcome::accepted, m_now.count(), m_now);
         }
     }
 
@@ -95,17 +95,17 @@
                 }
                 return ended;
             });
-            m_pool.take_report(vm, told, m_now);
+            m_pool.handle_report(vm, told, m_now);
         }
     }
 
     void store() {
-        const store_round round = m_pool.begin_store();
+        const store_batch round = m_pool.begin_store_batch();
         for (const std::string& id : round.jobs) {
-            m_pool.job_stored(id, m_pool.find_job(id)->changed, m_now);
+            m_pool.mark_job_stored(id, m_pool.find_job(id)->change_count, m_now);
         }
-        m_pool.round_stored(round);
-        const std::size_t ended = m_pool.forget_final(m_now, 0ms).size();
+        m_pool.mark_batch_stored(round);
+        const std::size_t ended = m_pool.remove_final_jobs(m_now, 0ms).size();
         for (std::size_t i = 0; i < ended; ++i) {
             add_job(false);
         }
--- a/jobs/job.hpp
+++ b/jobs/job.hpp
@@ -29,9 +29,9 @@
 
     bool operator==(const resources&) const = default;
 
-    [[nodiscard]] bool fits_in(const resources& room) const noexcept {
-        return cpu_millicores <= room.cpu_millicores && memory_mb <= room.memory_mb &&
-               accelerators <= room.accelerators;
+    [[nodiscard]] bool fits_in(const resources& available) const noexcept {
+        return cpu_millicores <= available.cpu_millicores && memory_mb <= available.memory_mb &&
+               accelerators <= available.accelerators;
     }
     resources& operator+=(const resources& other) noexcept {
         cpu_millicores += other.cpu_millicores;
@@ -65,16 +65,18 @@
     std::string data_rack;        ///< Rack of the step's data; empty: none.
     std::uint32_t max_per_vm = 0; ///< Most tasks of the step on one VM; 0: any number.
     bool speculative = false;     ///< Two runs of one task may overlap.
-    bool endless = false;         ///< Runs until the job is cancelled and is restarted however it ends.
+    bool long_running = false;    ///< Runs until the job is cancelled and is restarted however it ends.
     std::string image;
-    std::int64_t target_tail_ms = 0;     ///< Bound on the tail of a serving task's response times; 0: none.
-    bool uses_leftover = false;          ///< Takes what other tasks leave unused; counts against no capacity.
+    std::int64_t target_tail_latency_ms =
+        0;                               ///< Bound on the tail of a serving task's response times; 0: none.
+    bool best_effort = false;            ///< Takes what other tasks leave unused; counts against no capacity.
     std::uint32_t disruption_budget = 0; ///< Most tasks of a long-running step that we may keep away at once.
 
     template <typename Archive>
     void serialize(Archive& archive) {
         archive(count, need, estimate_ms, after, checkpointed, gang, same_rack, required_label, data_rack,
-                max_per_vm, speculative, endless, image, target_tail_ms, uses_leftover, disruption_budget);
+                max_per_vm, speculative, long_running, image, target_tail_latency_ms, best_effort,
+                disruption_budget);
     }
 };
 
@@ -85,13 +87,13 @@
     std::string payload;
     std::vector<step_spec> steps;
     std::uint32_t occurrences = 1;
-    bool timed = false;           ///< Occurrences have due times.
+    bool has_due_times = false;   ///< Occurrences have due times.
     std::int64_t start_at_ms = 0; ///< Time of day of the first occurrence, ms since 1970.
     std::int64_t period_ms = 0;
 
-    [[nodiscard]] bool endless() const noexcept {
+    [[nodiscard]] bool is_long_running() const noexcept {
         for (const step_spec& step : steps) {
-            if (step.endless) {
+            if (step.long_running) {
                 return true;
             }
         }
@@ -100,7 +102,7 @@
 
     template <typename Archive>
     void serialize(Archive& archive) {
-        archive(id, queue, payload, steps, occurrences, timed, start_at_ms, period_ms);
+        archive(id, queue, payload, steps, occurrences, has_due_times, start_at_ms, period_ms);
     }
 };
 
--- a/jobs/order.hpp
+++ b/jobs/job_admission.hpp
@@ -38,11 +38,11 @@
 struct pool_load {
     std::int64_t waiting_work = 0;  ///< Millicore-milliseconds that go before a new job.
     std::int64_t runnable_work = 0; ///< The part of it that could run now; the rest waits for earlier steps.
-    std::int64_t coming_work = 0;   ///< Of occurrences that are due by the time that machines take to come.
+    std::int64_t upcoming_work = 0; ///< Of occurrences that are due by the time that machines take to come.
     std::int64_t late_work = 0;     ///< Of accepted jobs that are late; it goes after a new job, but is done.
-    std::int64_t usable_millicores = 0;  ///< Capacity of the VMs that take work ...
-    std::int64_t used_millicores = 0;    ///< ... the room that runs take there ...
-    std::int64_t endless_millicores = 0; ///< ... and the part of it that long-running tasks keep.
+    std::int64_t usable_millicores = 0;       ///< Capacity of the VMs that take work ...
+    std::int64_t used_millicores = 0;         ///< ... the room that runs take there ...
+    std::int64_t long_running_millicores = 0; ///< ... and the part of it that long-running tasks keep.
     std::size_t usable_vms = 0;
     /// What the owner can keep at work, where it gets starts out more slowly than there is room: its link or
     /// its processor binds, and VMs beyond that would idle.
@@ -54,23 +54,23 @@
     /// Capacity that running, waiting and coming work would use if what does not run yet were to be done
     /// within the drain time.
     [[nodiscard]] std::int64_t wanted_millicores() const noexcept {
-        return used_millicores + (runnable_work + coming_work) / drain_time_ms;
+        return used_millicores + (runnable_work + upcoming_work) / drain_time_ms;
     }
     /// Capacity that late work would use were it to be done within its drain time.
     [[nodiscard]] std::int64_t late_millicores() const noexcept { return late_work / late_drain_time_ms; }
     /// The part of a need that the owner can make use of.
-    [[nodiscard]] std::int64_t usable_part(std::int64_t need_millicores) const noexcept;
+    [[nodiscard]] std::int64_t limit_to_sustained(std::int64_t need_millicores) const noexcept;
     /// How long the pool takes for the work that waits, with the machines that are on their way.
-    [[nodiscard]] milliseconds wait() const noexcept;
+    [[nodiscard]] milliseconds queue_wait() const noexcept;
     /// The same, with the machines that can be had as well once they have come.
-    [[nodiscard]] milliseconds shortest_wait() const noexcept;
+    [[nodiscard]] milliseconds shortest_queue_wait() const noexcept;
 
   private:
-    [[nodiscard]] std::int64_t serving_millicores(std::int64_t further) const noexcept;
+    [[nodiscard]] std::int64_t millicores_for_waiting_work(std::int64_t extra_millicores) const noexcept;
 };
 
 /// How long machines take to come: a round of their owner, and the 1.8 s from the order to the first task.
-inline constexpr milliseconds machine_lead = 2s;
+inline constexpr milliseconds machine_lead_time = 2s;
 
 /// Follows the capacity that a pool needs: at once upwards, slowly downwards, so that the gaps between two
 /// bursts don't send machines away that are needed again a second later. Upwards it goes by the rate at which
@@ -80,14 +80,18 @@
 class demand_meter {
   public:
     /// A job was handed in, accepted or turned away; `work` in millicore-milliseconds.
-    void arrived(const std::string& job, std::int64_t work, timestamp now);
+    void record_arrival(const std::string& job, std::int64_t work, timestamp now);
     /// `wanted`: what running and waiting work would use now; `endless`: the part of it that long-running
     /// tasks keep beside whatever arrives; millicores.
-    void update(std::int64_t wanted, std::int64_t endless, timestamp now);
+    void update(std::int64_t wanted, std::int64_t long_running, timestamp now);
     /// What is needed now: for what is there, or for what has arrived lately, whichever is more; millicores.
-    [[nodiscard]] std::int64_t present() const noexcept { return static_cast<std::int64_t>(m_present); }
+    [[nodiscard]] std::int64_t current_need() const noexcept {
+        return static_cast<std::int64_t>(m_current_need);
+    }
     /// The same, falling slowly.
-    [[nodiscard]] std::int64_t kept() const noexcept { return static_cast<std::int64_t>(m_kept); }
+    [[nodiscard]] std::int64_t smoothed_need() const noexcept {
+        return static_cast<std::int64_t>(m_smoothed_need);
+    }
 
   private:
     struct arrival {
@@ -95,11 +99,11 @@
         timestamp at{0};
     };
 
-    [[nodiscard]] double rate_ahead(timestamp now) const;
+    [[nodiscard]] double projected_rate(timestamp now) const;
 
     std::map<std::string, arrival> m_arrivals; ///< By job: a client's retries count once.
-    double m_present = 0;
-    double m_kept = 0;
+    double m_current_need = 0;
+    double m_smoothed_need = 0;
     timestamp m_updated_at{0};
 };
 
@@ -119,6 +123,6 @@
 /// some use: its room is taken from nobody, and a caller who is refused seldom has time for a second try.
 /// Accepting late jobs without such machines would serve fewer in time.
 [[nodiscard]] admission_verdict admit(const job_spec& spec, const queue_settings& queue,
-                                      std::int64_t longest_chain_ms, const pool_load& load);
+                                      std::int64_t critical_path_ms, const pool_load& load);
 
 } // namespace siskinpaddle::jobs
--- a/jobs/job_state.cpp
+++ b/jobs/job_state.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr char done_mark = '1';
-constexpr char open_mark = '0';
+constexpr char pending_mark = '0';
 
-std::int64_t chain_of(const job_spec& spec) {
+std::int64_t critical_path_of(const job_spec& spec) {
     std::vector<std::int64_t> ends(spec.steps.size(), 0);
     std::int64_t longest = 0;
     for (std::size_t i = 0; i < spec.steps.size(); ++i) {
@@ -26,21 +26,21 @@
 
 } // namespace
 
-findings check_job(const job_spec& spec) {
+findings validate_job(const job_spec& spec) {
     findings problems;
     std::uint64_t tasks = 0;
     if (spec.steps.empty()) {
         problems.add("/steps", "a job needs at least one step");
     }
     for (std::size_t i = 0; i < spec.steps.size(); ++i) {
-        const std::string place = "/steps/" + std::to_string(i);
+        const std::string step_path = "/steps/" + std::to_string(i);
         tasks += spec.steps[i].count;
         if (spec.steps[i].count == 0) {
-            problems.add(place + "/count", "must be at least 1");
+            problems.add(step_path + "/count", "must be at least 1");
         }
         for (const std::uint32_t before : spec.steps[i].after) {
             if (before >= i) {
-                problems.add(place + "/after", "may only name earlier steps");
+                problems.add(step_path + "/after", "may only name earlier steps");
             }
         }
     }
@@ -51,13 +51,13 @@
 }
 
 job_state::job_state(job_spec spec, timestamp accepted_at)
-    : m_spec(std::move(spec)), m_accepted_at(accepted_at), m_chain_ms(chain_of(m_spec)) {
+    : m_spec(std::move(spec)), m_accepted_at(accepted_at), m_critical_path_ms(critical_path_of(m_spec)) {
     for (const step_spec& step : m_spec.steps) {
-        m_offsets.push_back(m_tasks_each);
-        m_tasks_each += step.count;
+        m_step_offsets.push_back(m_tasks_per_occurrence);
+        m_tasks_per_occurrence += step.count;
         m_requires_label = m_requires_label || !step.required_label.empty();
     }
-    m_tasks.resize(static_cast<std::size_t>(m_tasks_each) * m_spec.occurrences);
+    m_tasks.resize(static_cast<std::size_t>(m_tasks_per_occurrence) * m_spec.occurrences);
     for (task_state& item : m_tasks) {
         item.idle_since = accepted_at;
     }
@@ -66,8 +66,8 @@
             m_counts.push_back({step.count, step.count});
         }
     }
-    m_left = static_cast<std::uint32_t>(m_tasks.size());
-    m_idle = m_left;
+    m_unfinished_tasks = static_cast<std::uint32_t>(m_tasks.size());
+    m_idle_tasks = m_unfinished_tasks;
 }
 
 bool job_state::contains(const task_id& id) const noexcept {
@@ -75,26 +75,27 @@
            id.index < m_spec.steps[id.step].count;
 }
 
-std::size_t job_state::position(const task_id& id) const {
+std::size_t job_state::task_index(const task_id& id) const {
     assert(contains(id));
-    return static_cast<std::size_t>(id.occurrence) * m_tasks_each + m_offsets[id.step] + id.index;
+    return static_cast<std::size_t>(id.occurrence) * m_tasks_per_occurrence + m_step_offsets[id.step] +
+           id.index;
 }
 
 task_state& job_state::task(const task_id& id) {
-    return m_tasks[position(id)];
+    return m_tasks[task_index(id)];
 }
 
 const task_state& job_state::task(const task_id& id) const {
-    return m_tasks[position(id)];
+    return m_tasks[task_index(id)];
 }
 
-task_id job_state::id_of(step_place place, std::uint32_t index) const {
-    return {m_spec.id, place.occurrence, place.step, index};
+task_id job_state::id_of(step_position position, std::uint32_t index) const {
+    return {m_spec.id, position.occurrence, position.step, index};
 }
 
-bool job_state::unlocked(step_place place) const {
-    return std::ranges::all_of(m_spec.steps[place.step].after, [&](std::uint32_t before) {
-        return counts(step_place{place.occurrence, before}).left == 0;
+bool job_state::dependencies_done(step_position position) const {
+    return std::ranges::all_of(m_spec.steps[position.step].after, [&](std::uint32_t before) {
+        return counts(step_position{position.occurrence, before}).unfinished == 0;
     });
 }
 
@@ -102,7 +103,7 @@
     task_state& state = task(id);
     if (state.runs.empty() && !state.done) {
         --counts({id.occurrence, id.step}).idle;
-        --m_idle;
+        --m_idle_tasks;
     }
     state.attempts = std::max(state.attempts, item.attempt);
     ++m_runs;
@@ -119,7 +120,7 @@
     --m_runs;
     if (state.runs.empty() && !state.done) {
         ++counts({id.occurrence, id.step}).idle;
-        ++m_idle;
+        ++m_idle_tasks;
         state.idle_since = now;
     }
 }
@@ -130,13 +131,13 @@
         return;
     }
     state.done = true;
-    state.unaccounted = false;
+    state.may_have_unknown_run = false;
     step_counts& of_step = counts({id.occurrence, id.step});
-    --of_step.left;
-    --m_left;
+    --of_step.unfinished;
+    --m_unfinished_tasks;
     if (state.runs.empty()) {
         --of_step.idle;
-        --m_idle;
+        --m_idle_tasks;
     }
 }
 
@@ -147,7 +148,7 @@
     for (std::size_t i = 0; i < m_tasks.size(); ++i) {
         const task_state& item = m_tasks[i];
         const auto number = static_cast<std::uint32_t>(i);
-        result.done += item.done ? done_mark : open_mark;
+        result.done += item.done ? done_mark : pending_mark;
         if (item.done) {
             continue;
         }
@@ -166,18 +167,18 @@
 
 void job_state::restore(const job_progress& progress) {
     m_phase = progress.phase;
-    each_step([&](step_place place) {
-        for (std::uint32_t index = 0; index < m_spec.steps[place.step].count; ++index) {
-            restore_task(id_of(place, index), progress);
+    for_each_step([&](step_position position) {
+        for (std::uint32_t index = 0; index < m_spec.steps[position.step].count; ++index) {
+            restore_task(id_of(position, index), progress);
         }
     });
 }
 
 void job_state::restore_task(const task_id& id, const job_progress& progress) {
-    const std::size_t at = position(id);
+    const std::size_t at = task_index(id);
     const auto number = static_cast<std::uint32_t>(at);
     task_state& item = m_tasks[at];
-    item.unaccounted = true;
+    item.may_have_unknown_run = true;
     if (const auto failed = progress.failed_attempts.find(number); failed != progress.failed_attempts.end()) {
         item.failed_attempts = failed->second;
     }
@@ -193,9 +194,9 @@
     }
 }
 
-void job_state::account_for_all() {
+void job_state::clear_unknown_runs() {
     for (task_state& item : m_tasks) {
-        item.unaccounted = false;
+        item.may_have_unknown_run = false;
     }
 }
 
--- a/jobs/job_state.hpp
+++ b/jobs/job_state.hpp
@@ -13,8 +13,8 @@
 
 /// What is known of a run.
 enum class run_phase : std::uint8_t {
-    starting,  ///< The order is on its way.
-    unsettled, ///< The order was not answered: the run may be there, may come, or may never come.
+    starting,    ///< The order is on its way.
+    unconfirmed, ///< The order was not answered: the run may be there, may come, or may never come.
     running,
     stopping ///< A stop was ordered; the run holds its room until its end is reported.
 };
@@ -46,12 +46,12 @@
     std::uint32_t attempts = 0; ///< Runs ordered by this owner.
     /// An earlier owner may have ordered, or may yet order, a run on a VM that has not heard of this one.
     /// Runs that are found elsewhere don't change that.
-    bool unaccounted = false;
+    bool may_have_unknown_run = false;
     std::string checkpoint;
     std::vector<run> runs;
-    std::vector<std::string> failed_on;  ///< VMs on which it failed; others are tried first.
-    std::vector<crash_evidence> crashes; ///< VMs that ended under it, oldest first.
-    std::uint64_t crashes_change = 0;    ///< The job's change that added the last of them.
+    std::vector<std::string> failed_on;     ///< VMs on which it failed; others are tried first.
+    std::vector<crash_evidence> crashes;    ///< VMs that ended under it, oldest first.
+    std::uint64_t crashes_change_count = 0; ///< The job's change that added the last of them.
     timestamp idle_since{0};
 };
 
@@ -94,7 +94,7 @@
 };
 
 /// Position of a step within a job: which occurrence, which step.
-struct step_place {
+struct step_position {
     std::uint32_t occurrence = 0;
     std::uint32_t step = 0;
 };
@@ -116,17 +116,19 @@
     /// Precondition: contains(id).
     [[nodiscard]] task_state& task(const task_id& id);
     [[nodiscard]] const task_state& task(const task_id& id) const;
-    [[nodiscard]] task_id id_of(step_place place, std::uint32_t index) const;
+    [[nodiscard]] task_id id_of(step_position position, std::uint32_t index) const;
 
     /// Whether all steps before this one are done.
-    [[nodiscard]] bool unlocked(step_place place) const;
+    [[nodiscard]] bool dependencies_done(step_position position) const;
     /// Tasks of the step that are neither done nor have a run.
-    [[nodiscard]] std::uint32_t idle(step_place place) const { return counts(place).idle; }
-    [[nodiscard]] std::uint32_t left(step_place place) const { return counts(place).left; }
+    [[nodiscard]] std::uint32_t idle_tasks(step_position position) const { return counts(position).idle; }
+    [[nodiscard]] std::uint32_t unfinished_tasks(step_position position) const {
+        return counts(position).unfinished;
+    }
     /// Tasks of all steps that are neither done nor have a run.
-    [[nodiscard]] std::uint32_t idle_total() const noexcept { return m_idle; }
-    [[nodiscard]] std::uint32_t runs_total() const noexcept { return m_runs; }
-    [[nodiscard]] bool all_done() const noexcept { return m_left == 0; }
+    [[nodiscard]] std::uint32_t total_idle_tasks() const noexcept { return m_idle_tasks; }
+    [[nodiscard]] std::uint32_t total_runs() const noexcept { return m_runs; }
+    [[nodiscard]] bool all_done() const noexcept { return m_unfinished_tasks == 0; }
     /// Whether any task has ever been seen to run.
     [[nodiscard]] bool has_begun() const noexcept { return m_begun; }
     void set_begun() noexcept { m_begun = true; }
@@ -137,75 +139,77 @@
     void mark_done(const task_id& id);
 
     /// Whether everything that is held against the task is stored. Precondition: contains(id).
-    [[nodiscard]] bool crashes_stored(const task_id& id) const { return task(id).crashes_change <= stored; }
+    [[nodiscard]] bool crashes_stored(const task_id& id) const {
+        return task(id).crashes_change_count <= stored_change_count;
+    }
 
     [[nodiscard]] job_progress progress() const;
     /// Takes over what an earlier owner stored; tasks that aren't done become unaccounted.
     void restore(const job_progress& progress);
     /// Lets every unaccounted task be started again.
-    void account_for_all();
+    void clear_unknown_runs();
 
     /// Whether any of its steps needs VMs with a label.
     [[nodiscard]] bool requires_label() const noexcept { return m_requires_label; }
     /// When the occurrence may begin, on the owner's clock: when it is due, or, without due times, when the
     /// job was accepted. `wall_offset`: time of day less the owner's clock.
     [[nodiscard]] timestamp begins_at(std::uint32_t occurrence, milliseconds wall_offset) const noexcept {
-        if (!m_spec.timed) {
+        if (!m_spec.has_due_times) {
             return m_accepted_at;
         }
         return timestamp(m_spec.start_at_ms + occurrence * m_spec.period_ms) - wall_offset;
     }
     /// Longest chain of estimated work through the steps, ms.
-    [[nodiscard]] std::int64_t longest_chain_ms() const noexcept { return m_chain_ms; }
+    [[nodiscard]] std::int64_t critical_path_ms() const noexcept { return m_critical_path_ms; }
 
     /// Calls `visit(place)` for each step of each occurrence.
     template <typename Visit>
-    void each_step(Visit visit) const {
+    void for_each_step(Visit visit) const {
         for (std::uint32_t occurrence = 0; occurrence < m_spec.occurrences; ++occurrence) {
-            each_step_of(occurrence, visit);
+            for_each_step_of(occurrence, visit);
         }
     }
     /// The same for one occurrence.
     template <typename Visit>
-    void each_step_of(std::uint32_t occurrence, Visit visit) const {
+    void for_each_step_of(std::uint32_t occurrence, Visit visit) const {
         for (std::uint32_t step = 0; step < m_spec.steps.size(); ++step) {
-            visit(step_place{occurrence, step});
+            visit(step_position{occurrence, step});
         }
     }
 
     // Bookkeeping of the owner.
-    std::uint64_t changed = 0;  ///< Counts changes that must be stored.
-    std::uint64_t stored = 0;   ///< The value of `changed` that the store holds.
-    bool durable_final = false; ///< The final phase is stored and may be told.
+    std::uint64_t change_count = 0;        ///< Counts changes that must be stored.
+    std::uint64_t stored_change_count = 0; ///< The value of `changed` that the store holds.
+    bool is_final_phase_stored = false;    ///< The final phase is stored and may be told.
     timestamp final_at{0};
 
   private:
     struct step_counts {
-        std::uint32_t left = 0;
+        std::uint32_t unfinished = 0;
         std::uint32_t idle = 0;
     };
 
     void restore_task(const task_id& id, const job_progress& progress);
-    [[nodiscard]] std::size_t position(const task_id& id) const;
-    [[nodiscard]] const step_counts& counts(step_place place) const {
-        return m_counts[place.occurrence * m_spec.steps.size() + place.step];
+    [[nodiscard]] std::size_t task_index(const task_id& id) const;
+    [[nodiscard]] const step_counts& counts(step_position position) const {
+        return m_counts[position.occurrence * m_spec.steps.size() + position.step];
     }
-    [[nodiscard]] step_counts& counts(step_place place) {
-        return m_counts[place.occurrence * m_spec.steps.size() + place.step];
+    [[nodiscard]] step_counts& counts(step_position position) {
+        return m_counts[position.occurrence * m_spec.steps.size() + position.step];
     }
 
     job_spec m_spec;
     timestamp m_accepted_at;
     job_phase m_phase = job_phase::queued;
-    std::vector<std::uint32_t> m_offsets; ///< First task of each step within one occurrence.
-    std::uint32_t m_tasks_each = 0;       ///< Tasks of one occurrence.
+    std::vector<std::uint32_t> m_step_offsets; ///< First task of each step within one occurrence.
+    std::uint32_t m_tasks_per_occurrence = 0;  ///< Tasks of one occurrence.
     std::vector<task_state> m_tasks;
     std::vector<step_counts> m_counts;
-    std::uint32_t m_idle = 0;
-    std::uint32_t m_left = 0;
+    std::uint32_t m_idle_tasks = 0;
+    std::uint32_t m_unfinished_tasks = 0;
     std::uint32_t m_runs = 0;
     bool m_begun = false;
-    std::int64_t m_chain_ms = 0;
+    std::int64_t m_critical_path_ms = 0;
     bool m_requires_label = false;
 };
 
@@ -215,6 +219,6 @@
 
 /// Names everything wrong with a job before it is accepted: steps that wait for later ones, no tasks, too
 /// many tasks.
-[[nodiscard]] findings check_job(const job_spec& spec);
+[[nodiscard]] findings validate_job(const job_spec& spec);
 
 } // namespace siskinpaddle::jobs
--- a/jobs/label_meters.cpp
+++ b/jobs/label_meters.cpp
@@ -21,7 +21,7 @@
     }
     for (const auto& [label, work] : by_label) {
         meter& item = m_meters[label];
-        item.demand.arrived(spec.id, work, now);
+        item.demand.record_arrival(spec.id, work, now);
         item.last_requested_at = now;
     }
 }
@@ -37,7 +37,8 @@
     for (auto& [label, item] : m_meters) {
         const auto found = wanted.find(label);
         item.demand.update(found == wanted.end() ? 0 : found->second, 0, now);
-        result.push_back({label, item.demand.present(), std::max<std::int64_t>(1, item.demand.kept())});
+        result.push_back(
+            {label, item.demand.current_need(), std::max<std::int64_t>(1, item.demand.smoothed_need())});
     }
     return result;
 }
--- a/jobs/label_meters.hpp
+++ b/jobs/label_meters.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "jobs/balance.hpp"
-#include "jobs/order.hpp"
+#include "jobs/job_admission.hpp"
 #include "jobs/work_gauge.hpp"
 
 #include <map>
--- a/jobs/placement.cpp
+++ b/jobs/placement.cpp
@@ -79,7 +79,7 @@
 
 resources reserved_resources(const step_spec& step) {
     resources need = step.need;
-    if (step.uses_leftover) {
+    if (step.best_effort) {
         need.cpu_millicores = 0;
     }
     return need;
--- a/jobs/scheduler.cpp
+++ b/jobs/scheduler.cpp
@@ -10,18 +10,18 @@
 const queue_settings unknown_queue{};
 
 /// Beyond this a pool's VMs are as good as lost, and their loss shows elsewhere.
-constexpr double most_shrunk = 4;
+constexpr double max_shrink_factor = 4;
 
 /// Tasks of the step that could start now, were there room for them. Those that an earlier owner may have
 /// started are not among them.
-std::uint64_t waiting_tasks(const job_state& job, step_place place) {
-    if (job.idle(place) == 0 || !job.unlocked(place)) {
+std::uint64_t count_waiting_tasks(const job_state& job, step_position position) {
+    if (job.idle_tasks(position) == 0 || !job.dependencies_done(position)) {
         return 0;
     }
     std::uint64_t count = 0;
-    for (std::uint32_t index = 0; index < job.spec().steps[place.step].count; ++index) {
-        const task_state& task = job.task(job.id_of(place, index));
-        count += !task.done && task.runs.empty() && !task.unaccounted ? 1 : 0;
+    for (std::uint32_t index = 0; index < job.spec().steps[position.step].count; ++index) {
+        const task_state& task = job.task(job.id_of(position, index));
+        count += !task.done && task.runs.empty() && !task.may_have_unknown_run ? 1 : 0;
     }
     return count;
 }
@@ -30,36 +30,37 @@
 
 scheduler::scheduler(scheduler_settings settings, std::uint32_t epoch, timestamp now)
     : m_settings(settings), m_first_attempt(epoch * settings.attempts_per_epoch),
-      m_unaccounted_until(now + settings.unaccounted_window), m_starts_on_way(settings.starts) {}
+      m_takeover_deadline(now + settings.takeover_timeout), m_start_window(settings.starts) {}
 
 const queue_settings* scheduler::queue_of(const job_state& job) const {
     const auto found = std::ranges::find(m_queues, job.spec().queue, &queue_settings::name);
     return found == m_queues.end() ? &unknown_queue : &*found;
 }
 
-void scheduler::note(std::string what, const std::string& vm, const task_id* task, std::uint32_t attempt) {
+void scheduler::add_note(std::string what, const std::string& vm, const task_id* task,
+                         std::uint32_t attempt) {
     scheduler_note item{std::move(what), vm, {}, attempt};
     if (task != nullptr) {
         item.task = *task;
     }
-    m_out.notes.push_back(std::move(item));
+    m_pending_decisions.notes.push_back(std::move(item));
 }
 
-void scheduler::changed(job_state& job, bool urgent) {
-    ++job.changed;
-    m_changed.insert(job.spec().id);
-    m_urgent = m_urgent || urgent;
+void scheduler::mark_changed(job_state& job, bool urgent) {
+    ++job.change_count;
+    m_changed_jobs.insert(job.spec().id);
+    m_has_urgent_changes = m_has_urgent_changes || urgent;
 }
 
 // --- Jobs ---
 
-admission_verdict scheduler::judge(const job_spec& spec) const {
+admission_verdict scheduler::check_admission(const job_spec& spec) const {
     const auto found = std::ranges::find(m_queues, spec.queue, &queue_settings::name);
     if (found == m_queues.end()) {
-        return {true, 0ms, load().wait()};
+        return {true, 0ms, load().queue_wait()};
     }
     const job_state probe(spec, timestamp(0));
-    return admit(spec, *found, probe.longest_chain_ms(), load());
+    return admit(spec, *found, probe.critical_path_ms(), load());
 }
 
 pool_load scheduler::load() const {
@@ -67,13 +68,13 @@
     std::int64_t largest = 0;
     load.waiting_work = m_waiting_work;
     load.runnable_work = m_runnable_work;
-    load.coming_work = m_coming_work;
+    load.upcoming_work = m_upcoming_work;
     load.late_work = m_late_work;
     for (const auto& [name, vm] : m_vms) {
         if (vm.listed && vm.reachable && !vm.cordoned && !vm.info().draining) {
             load.usable_millicores += vm.info().capacity.cpu_millicores;
-            load.used_millicores += m_gauge.equivalent_millicores(vm.used());
-            load.endless_millicores += m_gauge.equivalent_millicores(vm.long_running_used());
+            load.used_millicores += m_work_gauge.equivalent_millicores(vm.used());
+            load.long_running_millicores += m_work_gauge.equivalent_millicores(vm.long_running_used());
             ++load.usable_vms;
             largest = std::max(largest, vm.info().capacity.cpu_millicores);
         }
@@ -87,28 +88,29 @@
 pool_demand scheduler::demand(timestamp now) {
     pool_demand result;
     const pool_load present = load();
-    m_demand.update(present.wanted_millicores(), present.endless_millicores, now);
-    const std::int64_t need = present.usable_part(m_demand.present());
-    const std::int64_t with_late = present.usable_part(need + present.late_millicores());
-    const auto at_best = [shrunk = shrunk_by()](std::int64_t millicores) {
-        return static_cast<std::int64_t>(static_cast<double>(millicores) * shrunk);
+    m_demand_meter.update(present.wanted_millicores(), present.long_running_millicores, now);
+    const std::int64_t need = present.limit_to_sustained(m_demand_meter.current_need());
+    const std::int64_t with_late = present.limit_to_sustained(need + present.late_millicores());
+    const auto scale_to_full_capacity = [factor = shrink_factor()](std::int64_t millicores) {
+        return static_cast<std::int64_t>(static_cast<double>(millicores) * factor);
     };
-    result.need_millicores = at_best(need);
-    result.retained_millicores = at_best(present.usable_part(m_demand.kept()));
-    result.late_millicores = at_best(std::max<std::int64_t>(0, with_late - need));
-    result.min_vms = vms_for_endless(present.usable_vms);
+    result.need_millicores = scale_to_full_capacity(need);
+    result.retained_millicores =
+        scale_to_full_capacity(present.limit_to_sustained(m_demand_meter.smoothed_need()));
+    result.late_millicores = scale_to_full_capacity(std::max<std::int64_t>(0, with_late - need));
+    result.min_vms = vms_for_long_running(present.usable_vms);
     if (m_isolation_lacks_vm) {
         result.min_vms = std::max<std::uint64_t>(result.min_vms, present.usable_vms + 1);
     }
-    result.labels = m_labels.update(wanted_by_label(now), now);
+    result.labels = m_label_meters.update(wanted_by_label(now), now);
     for (const auto& [name, vm] : m_vms) {
         vm_load item;
         item.vm = name;
         item.is_usable =
             vm.listed && vm.reachable && vm.has_responded() && !vm.info().draining && !vm.is_quarantined(now);
-        item.is_idle = is_settled(name);
+        item.is_idle = is_releasable(name);
         item.hosts_long_running = vm.hosts_long_running();
-        item.used_millicores = m_gauge.equivalent_millicores(vm.used());
+        item.used_millicores = m_work_gauge.equivalent_millicores(vm.used());
         result.vms.push_back(std::move(item));
     }
     return result;
@@ -116,7 +118,7 @@
 
 /// How much more the pool's VMs have had than they have now. Machines are counted by what they have at best:
 /// without this a pool whose VMs have shrunk asks for as many as before, and its queue stands still.
-double scheduler::shrunk_by() const {
+double scheduler::shrink_factor() const {
     std::int64_t now = 0;
     std::int64_t largest = 0;
     for (const auto& [name, vm] : m_vms) {
@@ -128,7 +130,7 @@
     if (now <= 0) {
         return 1;
     }
-    return std::min(most_shrunk, static_cast<double>(largest) / static_cast<double>(now));
+    return std::min(max_shrink_factor, static_cast<double>(largest) / static_cast<double>(now));
 }
 
 /// VMs that would let all long-running tasks run that wait now: those there, and as many more as the step
@@ -136,26 +138,26 @@
 /// needs 13. Counted by room its pool asked for one VM at a time, each after the one before had come, and a
 /// job that was accepted 7 s before the traffic had its last task started 41 s into it. Meanwhile no upkeep
 /// could move one of its tasks, since those that had never started used its disruption budget up.
-std::uint64_t scheduler::vms_for_endless(std::size_t usable_vms) const {
-    const auto each =
-        static_cast<std::uint64_t>(std::max<std::int64_t>(1, m_gauge.largest_vm_capacity().cpu_millicores));
+std::uint64_t scheduler::vms_for_long_running(std::size_t usable_vms) const {
+    const auto each = static_cast<std::uint64_t>(
+        std::max<std::int64_t>(1, m_work_gauge.largest_vm_capacity().cpu_millicores));
     std::uint64_t missing = 0;
-    std::uint64_t room = 0;
+    std::uint64_t waiting_millicores = 0;
     for (const auto& item : m_jobs) {
         const job_state& job = item.second;
-        if (is_final(job.phase()) || job.idle_total() == 0 || !job.spec().endless()) {
+        if (is_final(job.phase()) || job.total_idle_tasks() == 0 || !job.spec().is_long_running()) {
             continue;
         }
-        job.each_step([&](step_place place) {
-            const step_spec& step = job.spec().steps[place.step];
-            const std::uint64_t tasks = waiting_tasks(job, place);
+        job.for_each_step([&](step_position position) {
+            const step_spec& step = job.spec().steps[position.step];
+            const std::uint64_t tasks = count_waiting_tasks(job, position);
             const std::uint64_t most = step.max_per_vm == 0 ? tasks : step.max_per_vm;
             missing = std::max(missing, tasks == 0 ? 0 : (tasks + most - 1) / most);
-            room +=
-                tasks * static_cast<std::uint64_t>(m_gauge.equivalent_millicores(reserved_resources(step)));
+            waiting_millicores += tasks * static_cast<std::uint64_t>(
+                                              m_work_gauge.equivalent_millicores(reserved_resources(step)));
         });
     }
-    missing = std::max(missing, (room + each - 1) / each);
+    missing = std::max(missing, (waiting_millicores + each - 1) / each);
     return missing == 0 ? 0 : usable_vms + missing;
 }
 
@@ -167,35 +169,36 @@
         if (!job.requires_label() || is_final(job.phase())) {
             continue;
         }
-        job.each_step([&](step_place place) {
-            const step_spec& step = job.spec().steps[place.step];
-            const bool soon = job.begins_at(place.occurrence, m_wall_offset) <= now + machine_lead;
-            if (step.required_label.empty() || !soon || !job.unlocked(place) || job.left(place) == 0) {
+        job.for_each_step([&](step_position position) {
+            const step_spec& step = job.spec().steps[position.step];
+            const bool soon = job.begins_at(position.occurrence, m_wall_offset) <= now + machine_lead_time;
+            if (step.required_label.empty() || !soon || !job.dependencies_done(position) ||
+                job.unfinished_tasks(position) == 0) {
                 return;
             }
-            const std::uint32_t idle = job.idle(place);
-            const std::int64_t each = m_gauge.equivalent_millicores(reserved_resources(step));
+            const std::uint32_t idle = job.idle_tasks(position);
+            const std::int64_t each = m_work_gauge.equivalent_millicores(reserved_resources(step));
             const std::int64_t waiting =
-                step.endless ? idle * each
-                             : estimate_work(step, idle, job.spec().queue, m_gauge) / drain_time_ms;
-            wanted[step.required_label] += (job.left(place) - idle) * each + waiting;
+                step.long_running ? idle * each
+                                  : estimate_work(step, idle, job.spec().queue, m_work_gauge) / drain_time_ms;
+            wanted[step.required_label] += (job.unfinished_tasks(position) - idle) * each + waiting;
         });
     }
     return wanted;
 }
 
-void scheduler::job_arrived(const job_spec& spec, timestamp now) {
-    if (spec.endless() || spec.timed) {
+void scheduler::record_job_arrival(const job_spec& spec, timestamp now) {
+    if (spec.is_long_running() || spec.has_due_times) {
         return;
     }
-    m_demand.arrived(spec.id, estimate_job_work(spec, m_gauge), now);
-    m_labels.record_arrival(spec, m_gauge, now);
+    m_demand_meter.record_arrival(spec.id, estimate_job_work(spec, m_work_gauge), now);
+    m_label_meters.record_arrival(spec, m_work_gauge, now);
 }
 
 void scheduler::add_job(const job_record& record, timestamp accepted_at) {
-    const auto [place, added] = m_jobs.emplace(record.spec.id, job_state(record.spec, accepted_at));
-    if (added && !record.spec.timed) {
-        count_waiting(place->second, 0);
+    const auto [entry, added] = m_jobs.emplace(record.spec.id, job_state(record.spec, accepted_at));
+    if (added && !record.spec.has_due_times) {
+        add_waiting_work(entry->second, 0);
     }
 }
 
@@ -204,9 +207,9 @@
     job_state job(record.spec, accepted_at);
     job_progress stored = progress.value_or(job_progress{});
     job.restore(stored);
-    job.durable_final = is_final(job.phase());
+    job.is_final_phase_stored = is_final(job.phase());
     const auto& added = m_jobs.emplace(record.spec.id, std::move(job)).first->second;
-    suspect_again(added);
+    restore_suspicions(added);
 }
 
 cancel_outcome scheduler::cancel(const std::string& job, timestamp now) {
@@ -217,16 +220,16 @@
     if (is_final(found->second.phase())) {
         return cancel_outcome::already_final;
     }
-    finish(found->second, job_phase::cancelled, now);
+    finish_job(found->second, job_phase::cancelled, now);
     return cancel_outcome::cancelled;
 }
 
-void scheduler::finish(job_state& job, job_phase phase, timestamp now) {
+void scheduler::finish_job(job_state& job, job_phase phase, timestamp now) {
     job.set_phase(phase);
     job.final_at = now;
-    forget_suspicions(job.spec().id);
-    changed(job, true);
-    stop_all(job, now);
+    remove_suspects_of_job(job.spec().id);
+    mark_changed(job, true);
+    stop_job_runs(job, now);
 }
 
 std::optional<job_phase> scheduler::phase_of(const std::string& job) const {
@@ -235,13 +238,13 @@
         return std::nullopt;
     }
     const job_state& state = found->second;
-    if (is_final(state.phase()) && state.durable_final) {
+    if (is_final(state.phase()) && state.is_final_phase_stored) {
         return state.phase();
     }
     return state.has_begun() ? job_phase::running : job_phase::queued;
 }
 
-std::size_t scheduler::pending(const std::string& queue) const {
+std::size_t scheduler::pending_jobs(const std::string& queue) const {
     return static_cast<std::size_t>(std::ranges::count_if(m_jobs, [&](const auto& item) {
         const job_state& job = item.second;
         return job.spec().queue == queue && !job.has_begun() && !is_final(job.phase());
@@ -253,11 +256,12 @@
     return found == m_jobs.end() ? nullptr : &found->second;
 }
 
-std::vector<std::pair<std::string, job_phase>> scheduler::forget_final(timestamp now, milliseconds keep) {
+std::vector<std::pair<std::string, job_phase>> scheduler::remove_final_jobs(timestamp now,
+                                                                            milliseconds keep) {
     std::vector<std::pair<std::string, job_phase>> forgotten;
     std::erase_if(m_jobs, [&](const auto& item) {
         const job_state& job = item.second;
-        if (!job.durable_final || job.runs_total() > 0 || now - job.final_at < keep) {
+        if (!job.is_final_phase_stored || job.total_runs() > 0 || now - job.final_at < keep) {
             return false;
         }
         forgotten.emplace_back(item.first, job.phase());
@@ -269,49 +273,50 @@
 
 // --- Storing ---
 
-store_round scheduler::begin_store() {
-    store_round round;
-    round.jobs.assign(m_changed.begin(), m_changed.end());
-    m_changed.clear();
-    m_urgent = false;
-    m_ends_to_store = false;
+store_batch scheduler::begin_store_batch() {
+    store_batch batch;
+    batch.jobs.assign(m_changed_jobs.begin(), m_changed_jobs.end());
+    m_changed_jobs.clear();
+    m_has_urgent_changes = false;
+    m_has_ends_to_store = false;
     for (const auto& [name, vm] : m_vms) {
         if (vm.last_received_end > vm.last_stored_end) {
-            round.ends[name] = vm.last_received_end;
+            batch.end_sequences[name] = vm.last_received_end;
         }
     }
-    return round;
+    return batch;
 }
 
-void scheduler::job_stored(const std::string& job, std::uint64_t change, timestamp now) {
+void scheduler::mark_job_stored(const std::string& job, std::uint64_t change, timestamp now) {
     const auto found = m_jobs.find(job);
     if (found == m_jobs.end()) {
         return;
     }
     job_state& state = found->second;
-    state.stored = std::max(state.stored, change);
-    if (is_final(state.phase()) && state.stored == state.changed && !state.durable_final) {
-        state.durable_final = true;
+    state.stored_change_count = std::max(state.stored_change_count, change);
+    if (is_final(state.phase()) && state.stored_change_count == state.change_count &&
+        !state.is_final_phase_stored) {
+        state.is_final_phase_stored = true;
         state.final_at = now;
     }
 }
 
-void scheduler::round_stored(const store_round& round) {
-    for (const auto& [name, seen] : round.ends) {
+void scheduler::mark_batch_stored(const store_batch& batch) {
+    for (const auto& [name, seen] : batch.end_sequences) {
         if (const auto found = m_vms.find(name); found != m_vms.end()) {
             found->second.last_stored_end = std::max(found->second.last_stored_end, seen);
         }
     }
 }
 
-void scheduler::round_failed(const store_round& round) {
-    for (const std::string& job : round.jobs) {
+void scheduler::mark_batch_failed(const store_batch& batch) {
+    for (const std::string& job : batch.jobs) {
         if (m_jobs.contains(job)) {
-            m_changed.insert(job);
+            m_changed_jobs.insert(job);
         }
     }
-    m_urgent = true;
-    m_ends_to_store = m_ends_to_store || !round.ends.empty();
+    m_has_urgent_changes = true;
+    m_has_ends_to_store = m_has_ends_to_store || !batch.end_sequences.empty();
 }
 
 } // namespace siskinpaddle::jobs
--- a/jobs/scheduler_runs.cpp
+++ b/jobs/scheduler_runs.cpp
@@ -10,25 +10,25 @@
     job.remove_run(id, attempt, vm, now);
     if (const auto found = m_vms.find(vm); found != m_vms.end()) {
         const step_spec& step = job.spec().steps[id.step];
-        found->second.remove_task(id, reserved_resources(step), step.endless);
+        found->second.remove_task(id, reserved_resources(step), step.long_running);
     }
 }
 
 void scheduler::stop_run(const task_id& id, run& item, timestamp now) {
-    if (item.phase != run_phase::unsettled) {
+    if (item.phase != run_phase::unconfirmed) {
         item.phase = run_phase::stopping;
     }
     item.stop_sent_at = now;
-    m_out.stops.push_back({item.vm, id, item.attempt});
+    m_pending_decisions.stops.push_back({item.vm, id, item.attempt});
 }
 
-void scheduler::stop_all(job_state& job, timestamp now) {
-    if (job.runs_total() == 0) {
+void scheduler::stop_job_runs(job_state& job, timestamp now) {
+    if (job.total_runs() == 0) {
         return;
     }
-    job.each_step([&](step_place place) {
-        for (std::uint32_t index = 0; index < job.spec().steps[place.step].count; ++index) {
-            const task_id id = job.id_of(place, index);
+    job.for_each_step([&](step_position position) {
+        for (std::uint32_t index = 0; index < job.spec().steps[position.step].count; ++index) {
+            const task_id id = job.id_of(position, index);
             for (run& item : job.task(id).runs) {
                 stop_run(id, item, now);
             }
@@ -36,10 +36,10 @@
     });
 }
 
-void scheduler::take_done(job_state& job, const task_id& id, timestamp now) {
+void scheduler::process_done(job_state& job, const task_id& id, timestamp now) {
     const step_spec& step = job.spec().steps[id.step];
     clear_suspicion(job, id, "done");
-    if (step.endless) {
+    if (step.long_running) {
         return; // It is to run until it is cancelled: however it ends, it starts again.
     }
     const auto finish_task = [&](const task_id& item) {
@@ -60,16 +60,16 @@
     }
     const bool ended = job.all_done() && !is_final(job.phase());
     if (ended) {
-        finish(job, job_phase::completed, now);
+        finish_job(job, job_phase::completed, now);
     } else {
-        changed(job, false);
+        mark_changed(job, false);
     }
 }
 
-void scheduler::take_failure(job_state& job, const task_id& id, std::uint32_t attempt, vm_state& vm,
-                             timestamp now) {
+void scheduler::process_failure(job_state& job, const task_id& id, std::uint32_t attempt, vm_state& vm,
+                                timestamp now) {
     const step_spec& step = job.spec().steps[id.step];
-    if (step.endless) {
+    if (step.long_running) {
         return;
     }
     const task_id counted = step.gang ? job.id_of({id.occurrence, id.step}, 0) : id;
@@ -79,16 +79,16 @@
     }
     state.failed_attempts.push_back(attempt);
     job.task(id).failed_on.push_back(vm.info().incarnation);
-    changed(job, false);
+    mark_changed(job, false);
     const queue_settings& queue = *queue_of(job);
     // A queue that the configuration no longer names states no bound any more.
     if (state.failed_attempts.size() >= queue.max_attempts && !queue.name.empty()) {
-        note("job-failed", vm.info().incarnation, &counted, attempt);
-        finish(job, job_phase::failed, now);
+        add_note("job-failed", vm.info().incarnation, &counted, attempt);
+        finish_job(job, job_phase::failed, now);
     }
 }
 
-void scheduler::take_end(vm_state& vm, const end_report& end, timestamp now) {
+void scheduler::process_end(vm_state& vm, const end_report& end, timestamp now) {
     const auto found = m_jobs.find(end.task.job);
     if (found == m_jobs.end() || !found->second.contains(end.task)) {
         return;
@@ -104,8 +104,8 @@
         task.runs, [&](const run& item) { return item.attempt == end.attempt && item.vm == incarnation; });
     if (known != task.runs.end()) {
         if (end.outcome == run_end::done && known->from_scratch) {
-            m_gauge.record_task(job.spec().queue, job.spec().steps[end.task.step].estimate_ms,
-                                now - known->started_at);
+            m_work_gauge.record_task(job.spec().queue, job.spec().steps[end.task.step].estimate_ms,
+                                     now - known->started_at);
         }
         drop_run(job, end.task, end.attempt, incarnation, now);
     }
@@ -118,20 +118,20 @@
         return;
     }
     if (end.outcome == run_end::done) {
-        take_done(job, end.task, now);
+        process_done(job, end.task, now);
     } else if (end.outcome == run_end::failed) {
-        take_failure(job, end.task, end.attempt, vm, now);
+        process_failure(job, end.task, end.attempt, vm, now);
     }
 }
 
-bool scheduler::knows_task(const task_id& id) const {
+bool scheduler::has_task(const task_id& id) const {
     const auto found = m_jobs.find(id.job);
     return found != m_jobs.end() && found->second.contains(id);
 }
 
 /// Precondition: knows_task(item.task).
-void scheduler::take_running(vm_state& vm, const running_report& item, const vm_report& report,
-                             timestamp now) {
+void scheduler::process_running(vm_state& vm, const running_report& item, const vm_report& report,
+                                timestamp now) {
     const std::string& incarnation = vm.info().incarnation;
     job_state& job = m_jobs.find(item.task.job)->second;
     task_state& task = job.task(item.task);
@@ -149,8 +149,8 @@
                               (!task.runs.empty() && !job.spec().steps[item.task.step].speculative);
         run& added = job.add_run(item.task, std::move(adopted));
         const step_spec& step = job.spec().steps[item.task.step];
-        vm.add_task(item.task, reserved_resources(step), step.endless);
-        note(unwanted ? "stop-surplus-run" : "run-adopted", incarnation, &item.task, item.attempt);
+        vm.add_task(item.task, reserved_resources(step), step.long_running);
+        add_note(unwanted ? "stop-surplus-run" : "run-adopted", incarnation, &item.task, item.attempt);
         if (unwanted) {
             stop_run(item.task, added, now);
         }
@@ -158,9 +158,9 @@
     }
     job.set_begun();
     if (known->phase == run_phase::starting ||
-        (known->phase == run_phase::unsettled && known->stop_sent_at == timestamp(0))) {
+        (known->phase == run_phase::unconfirmed && known->stop_sent_at == timestamp(0))) {
         known->phase = run_phase::running;
-    } else if (known->phase == run_phase::unsettled) {
+    } else if (known->phase == run_phase::unconfirmed) {
         known->phase = run_phase::stopping; // It did start, and its stop is on the way.
     }
     known->confirmed_clock = report.clock_ms;
@@ -182,18 +182,18 @@
 /// cancelled job are being stopped: with one stop for each report, a lost one left such a run alone until the
 /// VM's next report, and for its whole lease where the VM was no longer listed and so not looked at again;
 /// and other tasks were started in the room that it still held.
-void scheduler::take_orphans(vm_state& vm, const vm_report& report) {
+void scheduler::process_orphans(vm_state& vm, const vm_report& report) {
     std::vector<running_report> unknown;
     std::ranges::copy_if(report.running, std::back_inserter(unknown),
-                         [this](const running_report& item) { return !knows_task(item.task); });
+                         [this](const running_report& item) { return !has_task(item.task); });
     for (const orphan_run& orphan : vm.set_orphans(unknown)) {
-        note("stop-unknown-run", vm.info().incarnation, &orphan.task, orphan.attempt);
+        add_note("stop-unknown-run", vm.info().incarnation, &orphan.task, orphan.attempt);
     }
 }
 
 /// Runs of ours that the VM lists neither as running nor as ended. A report tells of its own moment on the
 /// VM's clock; it settles a run only if it is newer than the last word on that run.
-void scheduler::settle_missing(vm_state& vm, const vm_report& report, timestamp now) {
+void scheduler::drop_missing_runs(vm_state& vm, const vm_report& report, timestamp now) {
     const std::string incarnation = vm.info().incarnation;
     std::set<std::pair<task_id, std::uint32_t>> listed;
     for (const running_report& item : report.running) {
@@ -208,9 +208,9 @@
                 continue;
             }
             const bool confirmed_before = item.confirmed_clock > 0 && item.confirmed_clock < report.clock_ms;
-            const bool can_not_come = item.start_deadline > 0 && item.start_deadline < report.clock_ms;
-            if (confirmed_before || (item.phase != run_phase::starting && can_not_come)) {
-                note("run-missing", incarnation, &id, item.attempt);
+            const bool start_expired = item.start_deadline > 0 && item.start_deadline < report.clock_ms;
+            if (confirmed_before || (item.phase != run_phase::starting && start_expired)) {
+                add_note("run-missing", incarnation, &id, item.attempt);
                 drop_run(job, id, item.attempt, incarnation, now);
             }
         }
@@ -240,12 +240,12 @@
     return end;
 }
 
-void scheduler::drop_runs_of(vm_state& vm, vm_end_cause cause, timestamp now) {
+void scheduler::drop_all_runs(vm_state& vm, vm_end_cause cause, timestamp now) {
     const vm_end end = describe_end(vm, cause, now);
     if (!end.runs.empty()) {
-        m_out.ended_vms.push_back(end);
+        m_pending_decisions.ended_vms.push_back(end);
     }
-    const char* why = cause == vm_end_cause::lease_expired ? "lease-lapsed" : "vm-gone";
+    const char* reason = cause == vm_end_cause::lease_expired ? "lease-lapsed" : "vm-gone";
     const std::set<task_id> tasks(vm.tasks().begin(), vm.tasks().end());
     const std::string incarnation = vm.info().incarnation;
     for (const task_id& id : tasks) {
@@ -253,13 +253,14 @@
         const std::vector<run> runs = job.task(id).runs;
         for (const run& item : runs) {
             if (item.vm == incarnation) {
-                note(why, incarnation, &id, item.attempt);
+                add_note(reason, incarnation, &id, item.attempt);
                 drop_run(job, id, item.attempt, incarnation, now);
             }
         }
     }
     vm.set_orphans({});
-    take_vm_end(end, cause == vm_end_cause::lease_expired ? vm_fate::lapsed : vm_fate::ended, now);
+    process_vm_end(
+        end, cause == vm_end_cause::lease_expired ? end_certainty::lease_expired : end_certainty::ended, now);
 }
 
 } // namespace siskinpaddle::jobs
--- a/jobs/scheduler_vms.cpp
+++ b/jobs/scheduler_vms.cpp
@@ -13,8 +13,8 @@
 
 } // namespace
 
-void scheduler::list_vm(const vm_info& info) {
-    m_gauge.record_vm_capacity(info.capacity);
+void scheduler::add_or_update_vm(const vm_info& info) {
+    m_work_gauge.record_vm_capacity(info.capacity);
     const auto found = m_vms.find(info.incarnation);
     if (found == m_vms.end()) {
         m_vms.emplace(info.incarnation, vm_state(info));
@@ -24,7 +24,7 @@
     found->second.listed = true;
 }
 
-void scheduler::delist_vm(const std::string& vm) {
+void scheduler::mark_vm_delisted(const std::string& vm) {
     const auto found = m_vms.find(vm);
     if (found != m_vms.end()) {
         found->second.listed = false;
@@ -37,33 +37,34 @@
         vm.listed = false;
         m_vms.emplace(info.incarnation, std::move(vm));
     }
-    m_unheard.insert(info.incarnation);
-    if (const auto silent = m_silent_vms.find(info.incarnation); silent != m_silent_vms.end()) {
-        silent->second = info.machine;
+    m_unconfirmed_vms.insert(info.incarnation);
+    if (const auto unresponsive = m_unresponsive_vms.find(info.incarnation);
+        unresponsive != m_unresponsive_vms.end()) {
+        unresponsive->second = info.machine;
     }
 }
 
-void scheduler::vm_gone(const std::string& vm, vm_end_cause cause, timestamp now) {
+void scheduler::handle_vm_ended(const std::string& vm, vm_end_cause cause, timestamp now) {
     const auto found = m_vms.find(vm);
-    const bool unheard = m_unheard.erase(vm) > 0;
+    const bool was_unconfirmed = m_unconfirmed_vms.erase(vm) > 0;
     if (found == m_vms.end()) {
         return;
     }
-    if (unheard && cause != vm_end_cause::ordered && !found->second.info().draining) {
-        m_ended_unheard.push_back(vm);
+    if (was_unconfirmed && cause != vm_end_cause::ordered && !found->second.info().draining) {
+        m_ended_unconfirmed_vms.push_back(vm);
     }
-    drop_runs_of(found->second, cause, now);
+    drop_all_runs(found->second, cause, now);
     m_vms.erase(found);
 }
 
-void scheduler::vm_unreachable(const std::string& vm, timestamp now) {
+void scheduler::handle_vm_unreachable(const std::string& vm, timestamp now) {
     if (const auto found = m_vms.find(vm); found != m_vms.end()) {
         found->second.reachable = false;
         found->second.record_missed_response(now);
     }
 }
 
-void scheduler::take_report(const std::string& name, const vm_report& report, timestamp now) {
+void scheduler::handle_report(const std::string& name, const vm_report& report, timestamp now) {
     const auto found = m_vms.find(name);
     if (found == m_vms.end()) {
         return;
@@ -76,27 +77,27 @@
     }
     vm.record_response(report.clock_ms, now);
     vm.reachable = true;
-    silent_vm_answers(name, now);
+    process_unresponsive_vm_response(name, now);
     for (const end_report& end : report.ended) {
         if (end.sequence > vm.last_received_end) {
             vm.last_received_end = end.sequence;
-            m_ends_to_store = true;
-            take_end(vm, end, now);
+            m_has_ends_to_store = true;
+            process_end(vm, end, now);
         }
     }
     for (const running_report& item : report.running) {
-        if (knows_task(item.task)) {
-            take_running(vm, item, report, now);
+        if (has_task(item.task)) {
+            process_running(vm, item, report, now);
         }
     }
-    take_orphans(vm, report);
+    process_orphans(vm, report);
     if (report.ended.size() < ends_in_full_report) {
-        settle_missing(vm, report, now);
+        drop_missing_runs(vm, report, now);
     }
-    m_unheard.erase(name);
-    forget_earlier_lives(vm.info(), now);
-    machine_answers(vm.info(), now);
-    pace(vm);
+    m_unconfirmed_vms.erase(name);
+    end_superseded_incarnations(vm.info(), now);
+    confirm_superseded_vms(vm.info(), now);
+    adjust_pace(vm);
 }
 
 /// A machine holds one life of a VM at a time. A VM of the earlier owner's record was alive before this owner
@@ -104,9 +105,9 @@
 /// crash while nobody can take over, such as in an outage of the store: the new owner can't reach them, they
 /// still stand in its pool, and all tasks that it had not found yet waited for the longest lease to run out.
 /// That a later life is registered isn't enough: the last heartbeat of an ended one can bring its entry back.
-void scheduler::forget_earlier_lives(const vm_info& alive, timestamp now) {
+void scheduler::end_superseded_incarnations(const vm_info& alive, timestamp now) {
     std::vector<std::string> ended;
-    for (const std::string& name : m_unheard) {
+    for (const std::string& name : m_unconfirmed_vms) {
         const auto found = m_vms.find(name);
         if (found != m_vms.end() && found->second.info().machine == alive.machine &&
             name != alive.incarnation) {
@@ -114,16 +115,16 @@
         }
     }
     for (const std::string& name : ended) {
-        note("earlier-life-ended", name, nullptr, 0);
-        vm_gone(name, vm_end_cause::superseded, now);
+        add_note("earlier-life-ended", name, nullptr, 0);
+        handle_vm_ended(name, vm_end_cause::superseded, now);
     }
 }
 
-void scheduler::start_answered(const start_order& order, order_outcome outcome, std::int64_t clock_ms,
-                               timestamp now) {
+void scheduler::handle_start_answer(const start_order& order, order_outcome outcome, std::int64_t clock_ms,
+                                    timestamp now) {
     const auto job = m_jobs.find(order.task.job);
     const auto vm = m_vms.find(order.vm);
-    m_starts_on_way.release(order.task, order.attempt);
+    m_start_window.release(order.task, order.attempt);
     if (vm != m_vms.end() && clock_ms > 0) {
         vm->second.record_response(clock_ms, now);
     }
@@ -150,10 +151,10 @@
             vm->second.record_missed_response(now);
         }
         if (item->phase == run_phase::starting) {
-            item->phase = run_phase::unsettled;
+            item->phase = run_phase::unconfirmed;
             // A stop settles it soonest. But a long-running task that is there is at work, and stopping it
             // would take it away from its users: there a report after the start's deadline settles it.
-            if (!job->second.spec().steps[order.task.step].endless) {
+            if (!job->second.spec().steps[order.task.step].long_running) {
                 stop_run(order.task, *item, now);
             }
         }
@@ -176,8 +177,8 @@
     }
 }
 
-void scheduler::stop_answered(const stop_order& order, order_outcome outcome, std::int64_t clock_ms,
-                              timestamp now) {
+void scheduler::handle_stop_answer(const stop_order& order, order_outcome outcome, std::int64_t clock_ms,
+                                   timestamp now) {
     const auto job = m_jobs.find(order.task.job);
     if (job == m_jobs.end() || !job->second.contains(order.task) || outcome != order_outcome::accepted) {
         return;
@@ -191,7 +192,8 @@
     }
 }
 
-void scheduler::advice_answered(const advice_request& request, const advice_answer& answer, timestamp now) {
+void scheduler::handle_advice_answer(const advice_request& request, const advice_answer& answer,
+                                     timestamp now) {
     const auto found = m_advice.find({request.job, request.occurrence, request.step});
     if (found != m_advice.end()) {
         found->second.record_answer(request, answer, now);
@@ -204,12 +206,12 @@
     }
 }
 
-bool scheduler::is_settled(const std::string& vm) const {
+bool scheduler::is_releasable(const std::string& vm) const {
     const auto found = m_vms.find(vm);
-    return !m_unheard.contains(vm) && (found == m_vms.end() || found->second.is_idle());
+    return !m_unconfirmed_vms.contains(vm) && (found == m_vms.end() || found->second.is_idle());
 }
 
-std::int64_t scheduler::renewal_deadline(const std::string& vm, timestamp now) {
+std::int64_t scheduler::grant_lease_renewal(const std::string& vm, timestamp now) {
     const auto found = m_vms.find(vm);
     if (found == m_vms.end() || !found->second.reachable) {
         // A renewal that is not answered may still arrive. Were it to carry a new deadline, the lease of a VM
@@ -230,7 +232,7 @@
 /// A VM with as many short tasks hears of an end within the time of a close look anyway, so that close looks
 /// cost few calls more. A look whose answer is lost is found out about as much sooner: until then no end on
 /// the VM is heard of and no room there is used again.
-bool scheduler::wants_close_look(const std::string& name) const {
+bool scheduler::needs_frequent_polling(const std::string& name) const {
     const auto found = m_vms.find(name);
     if (found == m_vms.end()) {
         return false;
@@ -244,17 +246,18 @@
     for (const task_id& id : found->second.tasks()) {
         const job_state& job = m_jobs.find(id.job)->second;
         const step_spec& step = job.spec().steps[id.step];
-        serving = serving || step.target_tail_ms > 0;
-        leftover = leftover || step.uses_leftover;
-        short_runs += step.endless ? 0 : 1;
+        serving = serving || step.target_tail_latency_ms > 0;
+        leftover = leftover || step.best_effort;
+        short_runs += step.long_running ? 0 : 1;
         for (const run& item : job.task(id).runs) {
-            if (item.vm == name && (item.phase == run_phase::unsettled || item.phase == run_phase::stopping ||
-                                    (step.endless && item.percent < 100))) {
+            if (item.vm == name &&
+                (item.phase == run_phase::unconfirmed || item.phase == run_phase::stopping ||
+                 (step.long_running && item.percent < 100))) {
                 return true;
             }
         }
     }
-    return (serving && leftover) || short_runs >= m_settings.busy_runs;
+    return (serving && leftover) || short_runs >= m_settings.frequent_poll_runs;
 }
 
 } // namespace siskinpaddle::jobs
--- a/jobs/suspicion.hpp
+++ b/jobs/suspicion.hpp
@@ -23,24 +23,24 @@
 };
 
 /// How sure it is that the VM has ended.
-enum class vm_fate : std::uint8_t {
-    silent, ///< It has not answered for a while. Held against nobody; noted in case its owner dies.
-    lapsed, ///< Silent past its lease: it may have crashed, or live behind a partition.
-    ended   ///< Another life shows it.
+enum class end_certainty : std::uint8_t {
+    unresponsive,  ///< It has not answered for a while. Held against nobody; noted in case its owner dies.
+    lease_expired, ///< Silent past its lease: it may have crashed, or live behind a partition.
+    ended          ///< Another life shows it.
 };
 
 /// A life of a VM that ended, or may have, under a run of a task. Each life counts once against a task.
 struct crash_evidence {
     std::string vm;
     evidence_kind kind = evidence_kind::shared;
-    vm_fate fate = vm_fate::ended;
+    end_certainty certainty = end_certainty::ended;
     std::uint16_t age_ms = 0; ///< From the start of the run to the VM's first missing answer.
 
     bool operator==(const crash_evidence&) const = default;
 
     template <typename Archive>
     void serialize(Archive& archive) {
-        archive(vm, kind, fate, age_ms);
+        archive(vm, kind, certainty, age_ms);
     }
 };
 
@@ -68,42 +68,43 @@
 inline constexpr milliseconds proven_after = 5s;
 
 /// Evidence against the task of one run that ended with its VM.
-struct blamed_run {
+struct suspect_run {
     task_id task;
     evidence_kind kind = evidence_kind::shared;
     milliseconds age{0};
 
-    bool operator==(const blamed_run&) const = default;
+    bool operator==(const suspect_run&) const = default;
 };
 
 /// Says what the end of a VM holds against the tasks that ran there; nothing for one that was ordered or
 /// announced. `mass`: so many others ended with it that the cause lies outside. Pure; thread-safe.
-[[nodiscard]] std::vector<blamed_run> blame(const vm_end& end, bool mass);
+[[nodiscard]] std::vector<suspect_run> find_suspect_runs(const vm_end& end, bool mass);
 
 /// Remembers when VMs of a pool went silent for good, to tell a loss of many from single crashes. Not
 /// thread-safe.
-class recent_ends {
+class recent_vm_ends {
   public:
     /// Precondition: `silent_from` is not later than `now`.
-    void add(const std::string& vm, timestamp silent_from, timestamp now);
+    void add(const std::string& vm, timestamp unresponsive_since, timestamp now);
     /// VMs that went silent about when this one did, it included. `silent`: those that do not answer now and
     /// have not ended yet.
-    [[nodiscard]] std::size_t together(timestamp silent_from, std::span<const timestamp> silent) const;
+    [[nodiscard]] std::size_t count_simultaneous(timestamp unresponsive_since,
+                                                 std::span<const timestamp> unresponsive) const;
 
   private:
-    struct entry {
+    struct ended_vm {
         std::string vm;
-        timestamp silent_from{0};
+        timestamp unresponsive_since{0};
     };
-    std::deque<entry> m_entries;
+    std::deque<ended_vm> m_entries;
 };
 
 /// Whether so many ends at a time are a loss of many, in a pool of `pool_vms`. Pure; thread-safe.
-[[nodiscard]] bool is_mass_loss(std::size_t together, std::size_t pool_vms) noexcept;
+[[nodiscard]] bool is_mass_loss(std::size_t simultaneous, std::size_t pool_vms) noexcept;
 
 /// Most VMs of a pool that suspected tasks may run on at a time, so that they can't take the pool down.
 /// Pure; thread-safe.
-[[nodiscard]] std::size_t most_at_risk(std::size_t usable_vms) noexcept;
+[[nodiscard]] std::size_t max_vms_at_risk(std::size_t usable_vms) noexcept;
 
 } // namespace siskinpaddle::jobs
 
@@ -116,10 +117,10 @@
     std::pair{siskinpaddle::jobs::evidence_kind::mass, std::string_view("mass")}};
 
 template <>
-inline constexpr std::array siskinpaddle::enum_names<siskinpaddle::jobs::vm_fate>{
-    std::pair{siskinpaddle::jobs::vm_fate::silent, std::string_view("silent")},
-    std::pair{siskinpaddle::jobs::vm_fate::lapsed, std::string_view("lapsed")},
-    std::pair{siskinpaddle::jobs::vm_fate::ended, std::string_view("ended")}};
+inline constexpr std::array siskinpaddle::enum_names<siskinpaddle::jobs::end_certainty>{
+    std::pair{siskinpaddle::jobs::end_certainty::unresponsive, std::string_view("silent")},
+    std::pair{siskinpaddle::jobs::end_certainty::lease_expired, std::string_view("lapsed")},
+    std::pair{siskinpaddle::jobs::end_certainty::ended, std::string_view("ended")}};
 
 template <>
 inline constexpr std::array siskinpaddle::enum_names<siskinpaddle::jobs::suspicion>{
--- a/node/pool_inbox.cpp
+++ b/node/pool_inbox.cpp
@@ -93,7 +93,7 @@
         const auto& [job, item] = *place;
         if (item.writing || m_submitting.contains(job)) {
             ++place;
-        } else if (m_scheduler.knows(job) || m_ended.contains(job)) {
+        } else if (m_scheduler.has_job(job) || m_ended.contains(job)) {
             remove_inbox(item.key);
             place = m_inbox_jobs.erase(place);
         } else {
@@ -137,7 +137,7 @@
 
 void pool_task::add_job(const jobs::job_record& record, timestamp accepted) {
     const std::string& job = record.spec.id;
-    if (!m_scheduler.knows(job) && !m_ended.contains(job)) {
+    if (!m_scheduler.has_job(job) && !m_ended.contains(job)) {
         m_scheduler.add_job(record, accepted);
     }
     if (m_inbox_cancels.items().contains(cancel_key(m_pool, job))) {
@@ -149,7 +149,7 @@
 std::size_t pool_task::waiting_in_inbox(const std::string& queue) const {
     return static_cast<std::size_t>(std::ranges::count_if(m_inbox_jobs, [&](const auto& item) {
         const auto& [job, left] = item;
-        return left.record.spec.queue == queue && !m_scheduler.knows(job) && !m_ended.contains(job);
+        return left.record.spec.queue == queue && !m_scheduler.has_job(job) && !m_ended.contains(job);
     }));
 }
 
--- a/node/pool_renewals.cpp
+++ b/node/pool_renewals.cpp
@@ -56,9 +56,9 @@
     link.renewing = true;
     milliseconds wait(0);
     if (state.has_responded() && state.reachable) {
-        wait = m_scheduler.wants_close_look(vm) ? close_look_wait : renewal_wait;
+        wait = m_scheduler.needs_frequent_polling(vm) ? close_look_wait : renewal_wait;
     }
-    const std::int64_t deadline = m_scheduler.renewal_deadline(vm, event_loop::now());
+    const std::int64_t deadline = m_scheduler.grant_lease_renewal(vm, event_loop::now());
     m_parts.vms.renew_lease(state.info(), m_held.token, deadline, state.last_stored_end, wait,
                             [this, vm, token = m_held.token,
                              alive = m_lifetime.weak_token()](const platform::renewal_answer& answer) {
@@ -81,7 +81,7 @@
             log_event(event_id::vm_reachable, {{"pool", m_pool}, {"vm", vm}});
         }
         link->second.failures = 0;
-        m_scheduler.take_report(vm, *answer.report, now);
+        m_scheduler.handle_report(vm, *answer.report, now);
         if (!m_cleared_vms.contains(vm) && !m_record.may_contain(vm)) {
             m_record_timer->start(0ms); // It had been silent and left the record.
         }
@@ -90,7 +90,7 @@
         return;
     }
     if (answer.outcome == jobs::order_outcome::wrong_incarnation) {
-        m_scheduler.vm_gone(vm, jobs::vm_end_cause::replaced, now);
+        m_scheduler.handle_vm_ended(vm, jobs::vm_end_cause::replaced, now);
     } else if (answer.outcome == jobs::order_outcome::refused_fenced) {
         ownership_lost("fence", token);
     } else if (link->second.failures++ == 0) {
@@ -101,7 +101,7 @@
                    {"outcome", name_of(answer.outcome)},
                    {"lapses_in_ms", (known->second.lease_expires_at() - now).count()}});
     }
-    m_scheduler.vm_unreachable(vm, now);
+    m_scheduler.handle_vm_unreachable(vm, now);
     decide_soon();
     renew_later(vm, std::min(longest_retry, renewal_retry * std::max(1, link->second.failures)));
 }
--- a/node/pool_requests.cpp
+++ b/node/pool_requests.cpp
@@ -49,7 +49,7 @@
 
 void pool_task::count(const peer_request& request, const reply& done) const {
     jobs::queue_count_inputs known;
-    known.in_scheduler = m_scheduler.pending(request.queue);
+    known.in_scheduler = m_scheduler.pending_jobs(request.queue);
     known.unconfirmed = static_cast<std::size_t>(
         std::ranges::count(m_unsettled_submits, request.queue, [](const auto& item) { return item.second; }));
     known.in_inbox = waiting_in_inbox(request.queue);
@@ -96,7 +96,7 @@
 void pool_task::settle_cancels() {
     std::erase_if(m_cancels, [this](const waiting_cancel& item) {
         const jobs::job_state* job = m_scheduler.find_job(item.job);
-        if (job != nullptr && !job->durable_final) {
+        if (job != nullptr && !job->is_final_phase_stored) {
             return false;
         }
         item.done(answer_of(peer_outcome::ok));
@@ -127,7 +127,7 @@
     }
     use_again(before);
     m_cleared_at = event_loop::now();
-    m_scheduler.expect_vms(request.arriving, request.obtainable);
+    m_scheduler.set_expected_vms(request.arriving, request.obtainable);
     m_directory.expect_changes(request.arriving > 0);
     peer_answer answer = answer_of(peer_outcome::ok);
     answer.demand = m_scheduler.demand(event_loop::now());
--- a/node/pool_storing.cpp
+++ b/node/pool_storing.cpp
@@ -46,7 +46,7 @@
         return;
     }
     m_storing = true;
-    m_round = m_scheduler.begin_store();
+    m_round = m_scheduler.begin_store_batch();
     m_chunks_open = 0;
     m_round_good = true;
     for (std::span<const std::string> left(m_round.jobs); !left.empty();) {
@@ -73,7 +73,7 @@
             }
             free_entries -= needed;
             add_progress(change, id, *job);
-            written.emplace_back(id, job->changed);
+            written.emplace_back(id, job->change_count);
         }
         ++dealt_with;
     }
@@ -104,7 +104,7 @@
 }
 
 void pool_task::note_progress_revision(const std::string& job, std::int64_t revision) {
-    if (m_scheduler.knows(job)) {
+    if (m_scheduler.has_job(job)) {
         m_progress_revisions[job] = revision;
     }
 }
@@ -115,7 +115,7 @@
     if (stored) {
         for (const auto& [id, change] : written) {
             note_progress_revision(id, answer.revision);
-            m_scheduler.job_stored(id, change, event_loop::now());
+            m_scheduler.mark_job_stored(id, change, event_loop::now());
             log_if_ended(id);
         }
     } else {
@@ -143,22 +143,22 @@
 
 void pool_task::log_if_ended(const std::string& id) const {
     const jobs::job_state* job = m_scheduler.find_job(id);
-    if (job == nullptr || !job->durable_final) {
+    if (job == nullptr || !job->is_final_phase_stored) {
         return;
     }
     log_event(event_id::job_ended, {{"pool", m_pool},
                                     {"job", id},
                                     {"phase", name_of(job->phase())},
                                     {"age_ms", (event_loop::now() - job->accepted_at()).count()},
-                                    {"chain_ms", job->longest_chain_ms()}});
+                                    {"chain_ms", job->critical_path_ms()}});
 }
 
 void pool_task::round_done() {
     m_storing = false;
     if (m_round_good) {
-        m_scheduler.round_stored(m_round);
+        m_scheduler.mark_batch_stored(m_round);
     } else {
-        m_scheduler.round_failed(m_round);
+        m_scheduler.mark_batch_failed(m_round);
     }
     settle_cancels();
     for (auto& [vm, link] : m_links) {
@@ -199,7 +199,7 @@
     if (!m_cleared_vms.empty() && now - m_cleared_at > cleared_bound) {
         use_again(std::exchange(m_cleared_vms, {}));
     }
-    for (const auto& [id, phase] : m_scheduler.forget_final(now, ended_in_scheduler)) {
+    for (const auto& [id, phase] : m_scheduler.remove_final_jobs(now, ended_in_scheduler)) {
         m_ended[id] = phase;
         m_ended_at[id] = now;
         m_progress_revisions.erase(id);
--- a/node/pool_submits.cpp
+++ b/node/pool_submits.cpp
@@ -24,7 +24,7 @@
     const std::string& id = request.spec.id;
     // Also what still lies in the inbox: judged as new, a repeat of an accepted job could be refused for
     // load.
-    if (m_scheduler.knows(id) || m_ended.contains(id) || m_inbox_jobs.contains(id)) {
+    if (m_scheduler.has_job(id) || m_ended.contains(id) || m_inbox_jobs.contains(id)) {
         done(answer_of(peer_outcome::ok));
         return;
     }
@@ -43,8 +43,8 @@
         done(answer);
         return;
     }
-    m_scheduler.job_arrived(request.spec, event_loop::now());
-    const jobs::admission_verdict verdict = m_scheduler.judge(request.spec);
+    m_scheduler.record_job_arrival(request.spec, event_loop::now());
+    const jobs::admission_verdict verdict = m_scheduler.check_admission(request.spec);
     const std::int64_t waiting_ms = verdict.queue_time.count();
     if (!verdict.accepted) {
         peer_answer answer = answer_of(peer_outcome::overloaded);
@@ -193,7 +193,7 @@
     }
     // Progress of a job that is not with the scheduler outlives one that has ended, as at a takeover.
     const auto progress = decode_archive<jobs::job_progress>(found->value);
-    if (progress && !m_scheduler.knows(id) && m_ended.try_emplace(id, progress.value().phase).second) {
+    if (progress && !m_scheduler.has_job(id) && m_ended.try_emplace(id, progress.value().phase).second) {
         m_ended_at[id] = event_loop::now();
     }
     settle_submit(id, item.done, peer_outcome::ok);
--- a/node/pool_task.cpp
+++ b/node/pool_task.cpp
@@ -36,9 +36,9 @@
     result.lease = std::min(settings.vm_lease, longest_lease);
     // An earlier owner acts for a while past its lease and grants whole leases until then; VM clocks are
     // slow.
-    result.unaccounted_window = membership_task::grace_after_lease +
-                                std::chrono::duration_cast<milliseconds>(result.lease * 1.03) + 500ms;
-    result.stop_time = settings.stop_time;
+    result.takeover_timeout = membership_task::grace_after_lease +
+                              std::chrono::duration_cast<milliseconds>(result.lease * 1.03) + 500ms;
+    result.max_stop_time = settings.stop_time;
     result.starts.max_bytes_in_flight = bytes_in(starts_on_link, settings.link_mbps);
     return result;
 }
@@ -139,7 +139,7 @@
     for (const jobs::pace_order& order : wanted.paces) {
         send_pace(order);
     }
-    for (const jobs::advice_request& question : wanted.questions) {
+    for (const jobs::advice_request& question : wanted.advice_requests) {
         send_question(question);
     }
     if (m_scheduler.has_changes()) {
@@ -160,7 +160,7 @@
                                     {"vms", load.usable_vms},
                                     {"usable_cores", load.usable_millicores / 1000},
                                     {"used_cores", load.used_millicores / 1000},
-                                    {"waiting_ms", load.wait().count()},
+                                    {"waiting_ms", load.queue_wait().count()},
                                     {"jobs", m_scheduler.job_count()},
                                     {"inbox", inbox_jobs()},
                                     {"inbox_age_ms", inbox_age().count()}});
@@ -198,7 +198,7 @@
     for (const jobs::vm_end& end : wanted.ended_vms) {
         log_vm_end(end);
     }
-    for (const jobs::suspicion_change& change : wanted.suspicions) {
+    for (const jobs::suspicion_change& change : wanted.suspicion_changes) {
         log_suspicion(change);
     }
 }
@@ -208,7 +208,7 @@
     std::string evidence;
     for (const jobs::crash_evidence& item : change.evidence) {
         evidence += (evidence.empty() ? "" : ",") + item.vm + ":" + std::string(name_of(item.kind)) + ":" +
-                    std::string(name_of(item.fate)) + "+" + std::to_string(item.age_ms);
+                    std::string(name_of(item.certainty)) + "+" + std::to_string(item.age_ms);
     }
     event_id event = event_id::task_suspected;
     if (change.level == jobs::suspicion::none) {
@@ -219,7 +219,7 @@
     log_event(event, {{"pool", m_pool},
                       {"task", platform::encode_task(change.task)},
                       {"level", name_of(change.level)},
-                      {"why", change.why},
+                      {"why", change.reason},
                       {"evidence", evidence.empty() ? std::string("-") : evidence}});
 }
 
@@ -254,9 +254,9 @@
                                       {"attempt", attempt},
                                       {"outcome", name_of(outcome)}});
     if (outcome == jobs::order_outcome::wrong_incarnation) {
-        m_scheduler.vm_gone(vm, jobs::vm_end_cause::replaced, event_loop::now());
+        m_scheduler.handle_vm_ended(vm, jobs::vm_end_cause::replaced, event_loop::now());
     } else if (outcome == jobs::order_outcome::not_sent) {
-        m_scheduler.vm_unreachable(vm, event_loop::now());
+        m_scheduler.handle_vm_unreachable(vm, event_loop::now());
     } else if (outcome == jobs::order_outcome::refused_fenced) {
         ownership_lost("fence", token);
     }
@@ -272,9 +272,9 @@
             if (alive.expired()) {
                 return;
             }
-            m_scheduler.start_answered(order, answer.outcome, answer.clock_ms, event_loop::now());
+            m_scheduler.handle_start_answer(order, answer.outcome, answer.clock_ms, event_loop::now());
             check_answer(order.vm, answer.outcome, "start", order.task, order.attempt, token);
-            if (answer.outcome != jobs::order_outcome::accepted || m_scheduler.may_start_more()) {
+            if (answer.outcome != jobs::order_outcome::accepted || m_scheduler.can_start_more()) {
                 decide_soon();
             }
         });
@@ -290,7 +290,7 @@
         [this, order, token = m_held.token,
          alive = m_lifetime.weak_token()](const platform::order_answer& answer) {
             if (!alive.expired()) {
-                m_scheduler.stop_answered(order, answer.outcome, answer.clock_ms, event_loop::now());
+                m_scheduler.handle_stop_answer(order, answer.outcome, answer.clock_ms, event_loop::now());
                 check_answer(order.vm, answer.outcome, "stop", order.task, order.attempt, token);
             }
         });
@@ -324,7 +324,7 @@
                                                   {"asked", question.vms.size()},
                                                   {"approved", answer.tickets.size()},
                                                   {"good", static_cast<int>(answer.succeeded)}});
-            m_scheduler.advice_answered(question, answer, event_loop::now());
+            m_scheduler.handle_advice_answer(question, answer, event_loop::now());
             decide_soon();
         });
 }
--- a/node/pool_task.hpp
+++ b/node/pool_task.hpp
@@ -218,7 +218,7 @@
     bool m_storing = false;
     bool m_store_planned = false;
     bool m_store_urgent = false;
-    jobs::store_round m_round;
+    jobs::store_batch m_round;
     std::size_t m_chunks_open = 0;
     bool m_round_good = true;
     std::set<std::string> m_cleared_vms; ///< VMs that are to be empty ...
--- a/node/pool_vms.cpp
+++ b/node/pool_vms.cpp
@@ -21,7 +21,7 @@
     if (!info || info->pool != m_pool) {
         if (m_scheduler.vms().contains(vm)) {
             log_event(event_id::vm_delisted, {{"pool", m_pool}, {"vm", vm}});
-            m_scheduler.delist_vm(vm);
+            m_scheduler.mark_vm_delisted(vm);
             m_record_timer->start(record_pause);
             decide_soon();
         }
@@ -34,7 +34,7 @@
                                     {"zone", info->availability_zone},
                                     {"draining", static_cast<int>(info->draining)}});
     if (m_record.contains(vm) && m_scheduler.vms().contains(vm)) {
-        m_scheduler.list_vm(*info);
+        m_scheduler.add_or_update_vm(*info);
         renew(vm);
         decide_soon();
         return;
@@ -65,7 +65,7 @@
 bool pool_task::belongs_in_record(const std::string& vm, bool listed) const {
     jobs::vm_record_inputs view;
     view.listed = listed;
-    view.is_idle = m_scheduler.is_settled(vm);
+    view.is_idle = m_scheduler.is_releasable(vm);
     view.evacuating = m_cleared_vms.contains(vm);
     view.recorded = m_record.may_contain(vm);
     if (const auto known = m_scheduler.vms().find(vm); known != m_scheduler.vms().end()) {
@@ -99,7 +99,7 @@
 void pool_task::review_record() {
     const timestamp now = event_loop::now();
     const bool released = std::ranges::any_of(m_cleared_vms, [this](const std::string& vm) {
-        return m_record.contains(vm) && m_scheduler.is_settled(vm);
+        return m_record.contains(vm) && m_scheduler.is_releasable(vm);
     });
     if (released || now - m_record_reviewed_at >= record_review) {
         m_record_reviewed_at = now;
@@ -172,7 +172,7 @@
     for (const auto& [vm, info] : m_record.stored()) {
         const auto listed = m_directory.vms().find(vm);
         if (listed != m_directory.vms().end() && listed->second.pool == m_pool) {
-            m_scheduler.list_vm(listed->second);
+            m_scheduler.add_or_update_vm(listed->second);
             m_scheduler.cordon(vm, m_cleared_vms.contains(vm));
             renew(vm);
         }
@@ -185,7 +185,7 @@
 /// lease has run out.
 void pool_task::look_for_unheard() {
     decide_soon();
-    if (m_scheduler.unheard().empty()) {
+    if (m_scheduler.unconfirmed_vms().empty()) {
         return;
     }
     m_unheard_timer->start(unheard_interval);
@@ -204,14 +204,14 @@
         // its entry back. An entry that can't be read counts, too: another program has written over it, and
         // tasks may still run on its VM.
         const bool registered = m_directory.is_registered(vm);
-        if (registered || found == list.machines.end() || !m_scheduler.unheard().contains(vm)) {
+        if (registered || found == list.machines.end() || !m_scheduler.unconfirmed_vms().contains(vm)) {
             continue;
         }
         const bool taken_down = found->phase == platform::machine_phase::moving ||
                                 found->phase == platform::machine_phase::maintenance;
         const bool elsewhere = found->pool != m_pool;
         if (taken_down || elsewhere) {
-            m_scheduler.vm_gone(vm, jobs::vm_end_cause::ordered, event_loop::now());
+            m_scheduler.handle_vm_ended(vm, jobs::vm_end_cause::ordered, event_loop::now());
         }
     }
     decide_soon();
--- a/soak/callers.cpp
+++ b/soak/callers.cpp
@@ -51,7 +51,7 @@
     }
     spec.steps.resize(1);
     spec.steps[0].count = job.tasks;
-    spec.steps[0].endless = job.endless;
+    spec.steps[0].long_running = job.endless;
     spec.steps[0].need = {500, 64, 0};
     spec.steps[0].estimate_ms = 500;
     return platform::encode_job(spec);
--- a/tests/doors/door_test.cpp
+++ b/tests/doors/door_test.cpp
@@ -299,10 +299,10 @@
         }
         jobs::job_state job(spec, timestamp(0));
         std::uint64_t tasks = 0;
-        job.each_step([&](jobs::step_place place) { tasks += job.left(place); });
+        job.for_each_step([&](jobs::step_position place) { tasks += job.unfinished_tasks(place); });
         REQUIRE(tasks > 0);
         REQUIRE(tasks <= jobs::max_tasks_per_job);
-        REQUIRE(job.idle_total() == tasks);
+        REQUIRE(job.total_idle_tasks() == tasks);
     }
     CHECK(refused > mutations / 4);
 }
@@ -326,7 +326,7 @@
         if (const auto read = decode_archive<jobs::job_progress>(mutated(encode_archive(progress), random))) {
             jobs::job_state job(record.spec, timestamp(0));
             job.restore(read.value());
-            REQUIRE(job.idle_total() <= 2);
+            REQUIRE(job.total_idle_tasks() <= 2);
         }
     }
 }
--- a/tests/jobs/capacity_test.cpp
+++ b/tests/jobs/capacity_test.cpp
@@ -1,4 +1,4 @@
-#include "jobs/pool_bench.hpp"
+#include "jobs/scheduler_fixture.hpp"
 
 using namespace siskinpaddle;
 using namespace siskinpaddle::tests;
@@ -9,16 +9,18 @@
 
 /// A VM of four cores on which four tasks of one core have been started.
 struct full_vm {
-    pool_bench bench;
+    scheduler_fixture bench;
     std::vector<start_order> runs;
 
     full_vm() {
-        bench.vm("v1", cores);
-        bench.job("j", {pool_bench::step(8)});
+        bench.add_vm("v1", cores);
+        bench.add_job("j", {scheduler_fixture::step(8)});
         runs = bench.start_all();
     }
 
-    void set_cores(std::int64_t present) { bench.pool().list_vm(pool_bench::info("v1", present)); }
+    void set_cores(std::int64_t present) {
+        bench.pool().add_or_update_vm(scheduler_fixture::info("v1", present));
+    }
 
     /// So many of the runs have ended, the others go on.
     std::size_t count_starts_after(std::size_t ended) {
@@ -26,12 +28,13 @@
         std::vector<end_report> ends;
         for (std::size_t i = 0; i < runs.size(); ++i) {
             if (i < ended) {
-                ends.push_back(pool_bench::end(static_cast<std::int64_t>(i + 1), runs[i], run_end::done));
+                ends.push_back(
+                    scheduler_fixture::end(static_cast<std::int64_t>(i + 1), runs[i], run_end::done));
             } else {
-                alive.push_back(pool_bench::running(runs[i]));
+                alive.push_back(scheduler_fixture::running(runs[i]));
             }
         }
-        bench.pass(10ms);
+        bench.advance_clock(10ms);
         bench.report("v1", alive, ends);
         const decisions wanted = bench.decide();
         CHECK(wanted.stops.empty());
@@ -66,57 +69,57 @@
 }
 
 TEST_CASE("what is starting or being stopped counts when a VM shrinks") {
-    pool_bench b;
-    b.vm("v1", cores);
-    b.job("starting", {pool_bench::step(2)});
+    scheduler_fixture b;
+    b.add_vm("v1", cores);
+    b.add_job("starting", {scheduler_fixture::step(2)});
     REQUIRE(b.decide().starts.size() == 2); // Not answered yet.
-    b.job("stopping", {pool_bench::step(1)});
+    b.add_job("stopping", {scheduler_fixture::step(1)});
     const auto runs = b.start_all();
     REQUIRE(runs.size() == 1);
     static_cast<void>(b.pool().cancel("stopping", b.now()));
     CHECK(b.decide().stops.size() == 1);
-    b.pool().list_vm(b.info("v1", 3));
-    b.job("next", {pool_bench::step(1)});
+    b.pool().add_or_update_vm(b.info("v1", 3));
+    b.add_job("next", {scheduler_fixture::step(1)});
     CHECK(b.decide().starts.empty());
-    b.pool().list_vm(b.info("v1", 4));
+    b.pool().add_or_update_vm(b.info("v1", 4));
     CHECK(b.decide().starts.size() == 1);
 }
 
 TEST_CASE("a gang waits for room that has shrunk away") {
-    pool_bench b;
-    b.vm("v1", cores);
-    b.vm("v2", cores);
-    b.pool().list_vm(b.info("v2", 1));
-    step_spec gang = pool_bench::step(6);
+    scheduler_fixture b;
+    b.add_vm("v1", cores);
+    b.add_vm("v2", cores);
+    b.pool().add_or_update_vm(b.info("v2", 1));
+    step_spec gang = scheduler_fixture::step(6);
     gang.gang = true;
-    b.job("j", {gang});
+    b.add_job("j", {gang});
     CHECK(b.decide().starts.empty());
-    b.pool().list_vm(b.info("v2", 2));
+    b.pool().add_or_update_vm(b.info("v2", 2));
     CHECK(b.decide().starts.size() == 6);
 }
 
 TEST_CASE("admission and the need for VMs go by the capacity that VMs have now") {
-    pool_bench b;
-    b.vm("v1", 32);
-    b.vm("v2", 32);
-    b.job("waiting", {pool_bench::step(120)});
+    scheduler_fixture b;
+    b.add_vm("v1", 32);
+    b.add_vm("v2", 32);
+    b.add_job("waiting", {scheduler_fixture::step(120)});
     b.start_all();
     static_cast<void>(b.decide());
-    const job_spec next = b.record("next", {pool_bench::step(8)}).spec;
-    CHECK(b.pool().judge(next).accepted);
+    const job_spec next = b.record("next", {scheduler_fixture::step(8)}).spec;
+    CHECK(b.pool().check_admission(next).accepted);
     const std::int64_t need = b.pool().demand(b.now()).need_millicores;
-    b.pool().list_vm(b.info("v1", 8));
-    b.pool().list_vm(b.info("v2", 8));
+    b.pool().add_or_update_vm(b.info("v1", 8));
+    b.pool().add_or_update_vm(b.info("v2", 8));
     static_cast<void>(b.decide());
-    CHECK(!b.pool().judge(next).accepted);
+    CHECK(!b.pool().check_admission(next).accepted);
     CHECK(b.pool().demand(b.now()).need_millicores == 4 * need);
 }
 
 // Guards against VMs that start whatever they are told to and are filled by a capacity of long ago.
 TEST_CASE("nothing starts while it isn't known how much room VMs have") {
-    pool_bench b;
-    b.vm("v1", cores);
-    b.job("j", {pool_bench::step(1)});
+    scheduler_fixture b;
+    b.add_vm("v1", cores);
+    b.add_job("j", {scheduler_fixture::step(1)});
     b.pool().hold_starts(true);
     CHECK(b.decide().starts.empty());
     b.pool().hold_starts(false);
--- a/tests/jobs/crash_replay.hpp
+++ b/tests/jobs/crash_simulation.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "jobs/pool_bench.hpp"
+#include "jobs/scheduler_fixture.hpp"
 
 #include <functional>
 #include <map>
@@ -15,7 +15,7 @@
 /// Replays a pool whose VMs crash, in steps of 10 ms: machines with one life of a VM after the other, tasks
 /// that run there, a store that holds what its owner wrote, and owners that die. The scheduler decides; all
 /// else is the replay's.
-class crash_replay {
+class crash_simulation {
   public:
     struct options {
         std::size_t machines = 8;
@@ -37,24 +37,26 @@
     };
     /// What is to hold in the end, from the VMs' and the store's records.
     struct result {
-        std::size_t sound_failed = 0;    ///< Sound jobs that were given up.
-        std::size_t sound_left = 0;      ///< Sound jobs that are not completed.
-        std::size_t faulty_left = 0;     ///< Faulty jobs that are not shown as failed.
-        std::size_t starts_too_late = 0; ///< Most of a faulty task after three VMs had crashed under it.
-        std::size_t most_crashed = 0;    ///< VMs that were down at a time, crashed by a faulty task.
-        milliseconds longest_hold{0}; ///< Of a sound task under which a VM ended: from its loss to its start.
+        std::size_t healthy_failed = 0;     ///< Sound jobs that were given up.
+        std::size_t healthy_unfinished = 0; ///< Sound jobs that are not completed.
+        std::size_t faulty_not_failed = 0;  ///< Faulty jobs that are not shown as failed.
+        std::size_t starts_after_three_crashes =
+            0;                           ///< Most of a faulty task after three VMs had crashed under it.
+        std::size_t max_crashed_vms = 0; ///< VMs that were down at a time, crashed by a faulty task.
+        milliseconds longest_restart_delay{
+            0}; ///< Of a sound task under which a VM ended: from its loss to its start.
         std::size_t suspects_left = 0; ///< Tasks that something is held against in the end.
     };
 
-    explicit crash_replay(options settings) : m_options(settings) {
+    explicit crash_simulation(options settings) : m_options(settings) {
         for (std::size_t i = 0; i < m_options.machines; ++i) {
             machine item;
             item.name = "m" + std::to_string(i);
             item.rack = "r" + std::to_string(i / 4);
             m_machines.push_back(std::move(item));
-            begin_life(m_machines.back());
+            start_incarnation(m_machines.back());
         }
-        begin_owner();
+        start_owner();
     }
 
     /// Called each step; for disturbances.
@@ -76,8 +78,8 @@
             if (on_step) {
                 on_step(m_now - begin);
             }
-            arrive();
-            advance();
+            add_arriving_jobs();
+            advance_step();
         }
     }
 
@@ -87,34 +89,36 @@
         for (const auto& [id, record] : m_records) {
             const job_phase phase = m_owner->phase_of(id).value_or(job_phase::cancelled);
             const bool faulty = m_faulty.contains(id);
-            const bool running = record.spec.endless() && phase == job_phase::running;
-            all.faulty_left += faulty && phase != job_phase::failed ? 1 : 0;
-            all.sound_failed += !faulty && phase == job_phase::failed ? 1 : 0;
-            all.sound_left += !faulty && phase != job_phase::completed && !running ? 1 : 0;
+            const bool running = record.spec.is_long_running() && phase == job_phase::running;
+            all.faulty_not_failed += faulty && phase != job_phase::failed ? 1 : 0;
+            all.healthy_failed += !faulty && phase == job_phase::failed ? 1 : 0;
+            all.healthy_unfinished += !faulty && phase != job_phase::completed && !running ? 1 : 0;
         }
-        for (const auto& [task, starts] : m_starts_too_late) {
-            all.starts_too_late = std::max(all.starts_too_late, starts);
+        for (const auto& [task, starts] : m_starts_after_three_crashes) {
+            all.starts_after_three_crashes = std::max(all.starts_after_three_crashes, starts);
         }
-        all.most_crashed = m_most_crashed;
-        all.longest_hold = m_longest_hold;
-        all.suspects_left = m_owner->suspects();
+        all.max_crashed_vms = m_max_crashed_vms;
+        all.longest_restart_delay = m_longest_restart_delay;
+        all.suspects_left = m_owner->suspect_count();
         return all;
     }
 
     // --- Disturbances ---
 
     /// Ends the present life of the machine's VM, `quiet`: without breaking connections.
-    void crash(std::size_t machine, milliseconds down_time, bool quiet = false) {
-        end_life(m_machines[machine], down_time, quiet);
+    void crash_vm(std::size_t machine, milliseconds down_time, bool quiet = false) {
+        end_incarnation(m_machines[machine], down_time, quiet);
     }
     /// The VM can't be reached for so long, and runs on.
-    void cut_off(std::size_t machine, milliseconds time) { m_machines[machine].cut_until = m_now + time; }
-    void drain(std::size_t machine) {
+    void make_unreachable(std::size_t machine, milliseconds time) {
+        m_machines[machine].unreachable_until = m_now + time;
+    }
+    void drain_vm(std::size_t machine) {
         vm_info info = m_machines[machine].info;
         info.draining = true;
         m_machines[machine].info = info;
         if (m_owner) {
-            m_owner->list_vm(info);
+            m_owner->add_or_update_vm(info);
         }
     }
     /// The owner dies; another takes over after `gap`.
@@ -137,32 +141,32 @@
     static constexpr milliseconds gang_timeout{3000};
     static constexpr timestamp begin{100'000};
 
-    struct live_run {
+    struct active_run {
         start_order order;
-        timestamp began{0};
+        timestamp started_at{0};
     };
     struct machine {
         std::string name;
         std::string rack;
         vm_info info;
-        std::uint32_t lives = 0;
-        std::vector<live_run> runs;
+        std::uint32_t incarnations = 0;
+        std::vector<active_run> runs;
         std::vector<end_report> ends;
-        std::optional<timestamp> next_life; ///< Down until then.
-        timestamp reported{0};
-        timestamp cut_until{0};
+        std::optional<timestamp> next_incarnation_at; ///< Down until then.
+        timestamp last_report_at{0};
+        timestamp unreachable_until{0};
         timestamp crashes_at{0}; ///< 0: not.
         std::int64_t sequence = 0;
-        bool by_faulty = false;         ///< Its last crash was a faulty task's.
-        std::vector<std::string> ended; ///< Lives whose end no owner has heard of.
+        bool crashed_by_faulty_task = false;           ///< Its last crash was a faulty task's.
+        std::vector<std::string> unreported_ended_vms; ///< Lives whose end no owner has heard of.
         timestamp lease_until{0};
     };
     struct late_order {
         start_order order;
         timestamp due{0};
     };
-    struct open_write {
-        store_round round;
+    struct pending_write {
+        store_batch batch;
         std::map<std::string, std::pair<std::uint64_t, job_progress>> jobs;
         timestamp due{0};
     };
@@ -172,39 +176,39 @@
         return found != m_faulty.end() && found->second == task.index;
     }
     [[nodiscard]] bool reachable(const machine& item) const {
-        return !item.next_life && m_now >= item.cut_until;
+        return !item.next_incarnation_at && m_now >= item.unreachable_until;
     }
     [[nodiscard]] std::int64_t vm_clock() const { return m_now.count() + 1000; }
 
-    void begin_life(machine& item) {
-        item.next_life.reset();
-        item.info = pool_bench::info(item.name + "-" + std::to_string(++item.lives));
+    void start_incarnation(machine& item) {
+        item.next_incarnation_at.reset();
+        item.info = scheduler_fixture::info(item.name + "-" + std::to_string(++item.incarnations));
         item.info.machine = item.name;
         item.info.rack = item.rack;
         item.sequence = 0;
-        item.by_faulty = false;
+        item.crashed_by_faulty_task = false;
         if (m_owner) {
-            m_owner->list_vm(item.info);
+            m_owner->add_or_update_vm(item.info);
         }
     }
 
-    void end_life(machine& item, milliseconds down_time, bool quiet) {
-        if (item.next_life) {
+    void end_incarnation(machine& item, milliseconds down_time, bool quiet) {
+        if (item.next_incarnation_at) {
             return;
         }
-        for (const live_run& run : item.runs) {
+        for (const active_run& run : item.runs) {
             m_lost_at[run.order.task] = m_now;
             break_gang(run.order.task, item);
-            m_crashes[run.order.task] += item.by_faulty && is_faulty(run.order.task) ? 1 : 0;
+            m_crashes[run.order.task] += item.crashed_by_faulty_task && is_faulty(run.order.task) ? 1 : 0;
         }
         item.runs.clear();
         item.ends.clear();
         item.crashes_at = timestamp(0);
-        item.ended.push_back(item.info.incarnation);
-        item.next_life = m_now + down_time;
-        m_delist[item.info.incarnation] = m_now + delist_after;
+        item.unreported_ended_vms.push_back(item.info.incarnation);
+        item.next_incarnation_at = m_now + down_time;
+        m_delist_at[item.info.incarnation] = m_now + delist_after;
         if (m_owner && !quiet) {
-            m_owner->vm_unreachable(item.info.incarnation, m_now);
+            m_owner->handle_vm_unreachable(item.info.incarnation, m_now);
         }
     }
 
@@ -214,18 +218,19 @@
             return;
         }
         for (machine& item : m_machines) {
-            std::erase_if(item.runs, [&](const live_run& run) {
+            std::erase_if(item.runs, [&](const active_run& run) {
                 const task_id& id = run.order.task;
                 if (&item == &where || id.job != lost.job || id.step != lost.step) {
                     return false;
                 }
-                item.ends.push_back(pool_bench::end(++item.sequence, run.order, run_end::gang_member_ended));
+                item.ends.push_back(
+                    scheduler_fixture::end(++item.sequence, run.order, run_end::gang_member_ended));
                 return true;
             });
         }
     }
 
-    void begin_owner() {
+    void start_owner() {
         m_owner = std::make_unique<scheduler>(scheduler_settings{}, m_epoch++, m_now);
         queue_settings queue;
         queue.name = "q";
@@ -243,13 +248,13 @@
             m_owner->expect_vm(info);
         }
         for (machine& item : m_machines) {
-            m_owner->list_vm(item.info);
-            item.reported = timestamp(0);
+            m_owner->add_or_update_vm(item.info);
+            item.last_report_at = timestamp(0);
         }
         m_writes.clear();
     }
 
-    void arrive() {
+    void add_arriving_jobs() {
         const milliseconds since = m_now - begin;
         if (m_options.jobs_per_s == 0 || since > m_options.arrivals) {
             return;
@@ -258,63 +263,65 @@
         for (; m_arrived < due; ++m_arrived) {
             const bool faulty = m_options.faulty_one_in > 0 &&
                                 m_arrived % m_options.faulty_one_in == m_options.faulty_one_in / 2;
-            const step_spec step = pool_bench::step(static_cast<std::uint32_t>(m_options.tasks),
-                                                    m_options.cores * 1000, m_options.run_time.count());
-            add_job(pool_bench::record("j" + std::to_string(1000 + m_arrived), {step}),
+            const step_spec step =
+                scheduler_fixture::step(static_cast<std::uint32_t>(m_options.tasks), m_options.cores * 1000,
+                                        m_options.run_time.count());
+            add_job(scheduler_fixture::record("j" + std::to_string(1000 + m_arrived), {step}),
                     faulty ? std::optional<std::uint32_t>(1) : std::nullopt);
         }
     }
 
-    void advance() {
+    void advance_step() {
         if (!m_owner && m_now >= m_owner_at) {
-            begin_owner();
+            start_owner();
         }
         std::size_t crashed = 0;
         for (machine& item : m_machines) {
             if (item.crashes_at != timestamp(0) && m_now >= item.crashes_at) {
-                item.by_faulty = true;
-                end_life(item, m_options.down_time, false);
+                item.crashed_by_faulty_task = true;
+                end_incarnation(item, m_options.down_time, false);
             }
-            if (item.next_life && m_now >= *item.next_life) {
-                begin_life(item);
+            if (item.next_incarnation_at && m_now >= *item.next_incarnation_at) {
+                start_incarnation(item);
             }
-            crashed += item.next_life && item.by_faulty ? 1 : 0;
+            crashed += item.next_incarnation_at && item.crashed_by_faulty_task ? 1 : 0;
         }
-        m_most_crashed = std::max(m_most_crashed, crashed);
+        m_max_crashed_vms = std::max(m_max_crashed_vms, crashed);
         for (machine& item : m_machines) {
-            work(item);
+            end_finished_runs(item);
         }
-        carry_out_late();
-        tell_owner();
+        process_late_orders();
+        report_to_owner();
         finish_writes();
         decide();
         begin_write();
     }
 
     /// Ends runs whose time has come or whose lease is over; looks go by the owner's own interval.
-    void work(machine& item) {
-        if (item.next_life) {
+    void end_finished_runs(machine& item) {
+        if (item.next_incarnation_at) {
             return;
         }
-        std::erase_if(item.runs, [&](const live_run& run) {
+        std::erase_if(item.runs, [&](const active_run& run) {
             const std::optional<run_end> how = end_of(item, run);
             if (how) {
-                item.ends.push_back(pool_bench::end(++item.sequence, run.order, *how));
+                item.ends.push_back(scheduler_fixture::end(++item.sequence, run.order, *how));
             }
             return how.has_value();
         });
     }
 
-    [[nodiscard]] std::optional<run_end> end_of(const machine& item, const live_run& run) const {
+    [[nodiscard]] std::optional<run_end> end_of(const machine& item, const active_run& run) const {
         const job_spec& spec = m_records.at(run.order.task.job).spec;
-        const milliseconds age = m_now - run.began;
+        const milliseconds age = m_now - run.started_at;
         if (m_now > item.lease_until) {
             return run_end::lease_expired;
         }
         if (spec.steps[run.order.task.step].gang && !is_complete(run.order)) {
             return age >= gang_timeout ? std::optional(run_end::gang_incomplete) : std::nullopt;
         }
-        return spec.endless() || age < m_options.run_time ? std::nullopt : std::optional(run_end::done);
+        return spec.is_long_running() || age < m_options.run_time ? std::nullopt
+                                                                  : std::optional(run_end::done);
     }
 
     /// Whether all members of the gang are there. Those that have just ended as done count.
@@ -324,7 +331,7 @@
             return id.job == order.task.job && id.step == order.task.step && attempt == order.attempt;
         };
         for (const machine& item : m_machines) {
-            present += static_cast<std::size_t>(std::ranges::count_if(item.runs, [&](const live_run& run) {
+            present += static_cast<std::size_t>(std::ranges::count_if(item.runs, [&](const active_run& run) {
                 return is_member(run.order.task, run.order.attempt);
             }));
             present += static_cast<std::size_t>(std::ranges::count_if(item.ends, [&](const end_report& end) {
@@ -334,40 +341,40 @@
         return present >= m_records.at(order.task.job).spec.steps[order.task.step].count;
     }
 
-    void tell_owner() {
+    void report_to_owner() {
         if (!m_owner) {
             return;
         }
         for (machine& item : m_machines) {
-            if (!item.next_life) {
-                for (const std::string& vm : std::exchange(item.ended, {})) {
-                    m_owner->vm_gone(vm, vm_end_cause::replaced, m_now);
+            if (!item.next_incarnation_at) {
+                for (const std::string& vm : std::exchange(item.unreported_ended_vms, {})) {
+                    m_owner->handle_vm_ended(vm, vm_end_cause::replaced, m_now);
                     m_recorded.erase(vm);
                 }
             }
             if (!reachable(item)) {
-                if (!item.next_life) {
-                    m_owner->vm_unreachable(item.info.incarnation, m_now);
+                if (!item.next_incarnation_at) {
+                    m_owner->handle_vm_unreachable(item.info.incarnation, m_now);
                 }
                 continue;
             }
-            if (item.ends.empty() && m_now - item.reported < report_interval) {
+            if (item.ends.empty() && m_now - item.last_report_at < report_interval) {
                 continue;
             }
-            item.reported = m_now;
+            item.last_report_at = m_now;
             std::vector<running_report> alive;
-            for (const live_run& run : item.runs) {
-                alive.push_back(pool_bench::running(run.order));
+            for (const active_run& run : item.runs) {
+                alive.push_back(scheduler_fixture::running(run.order));
             }
-            m_owner->take_report(item.info.incarnation, {vm_clock(), alive, item.ends}, m_now);
-            if (m_owner->renewal_deadline(item.info.incarnation, m_now) > 0) {
+            m_owner->handle_report(item.info.incarnation, {vm_clock(), alive, item.ends}, m_now);
+            if (m_owner->grant_lease_renewal(item.info.incarnation, m_now) > 0) {
                 item.lease_until = m_now + scheduler_settings{}.lease;
             }
             forget_acknowledged(item);
         }
-        std::erase_if(m_delist, [&](const auto& item) {
+        std::erase_if(m_delist_at, [&](const auto& item) {
             if (m_now >= item.second) {
-                m_owner->delist_vm(item.first);
+                m_owner->mark_vm_delisted(item.first);
             }
             return m_now >= item.second;
         });
@@ -404,19 +411,19 @@
     void start(const start_order& order) {
         machine* item = machine_of(order.vm);
         if (item == nullptr) {
-            m_owner->start_answered(order, order_outcome::not_sent, 0, m_now);
-            m_owner->vm_unreachable(order.vm, m_now);
+            m_owner->handle_start_answer(order, order_outcome::not_sent, 0, m_now);
+            m_owner->handle_vm_unreachable(order.vm, m_now);
             return;
         }
         if (const auto lost = m_lost_at.extract(order.task);
             !lost.empty() && !m_faulty.contains(order.task.job)) {
-            m_longest_hold = std::max(m_longest_hold, m_now - lost.mapped());
+            m_longest_restart_delay = std::max(m_longest_restart_delay, m_now - lost.mapped());
         }
         ++m_orders;
         m_recorded[order.vm] = item->info;
         const auto is_one_in = [this](std::size_t share) { return share > 0 && m_orders % share == 0; };
         if (is_one_in(m_options.late_one_in)) {
-            m_late.push_back({order, m_now + late_time});
+            m_late_orders.push_back({order, m_now + late_time});
             m_unanswered.push_back({order, m_now + order_timeout});
             return;
         }
@@ -425,21 +432,21 @@
             m_unanswered.push_back({order, m_now + order_timeout});
             return;
         }
-        m_owner->start_answered(order, order_outcome::accepted, vm_clock(), m_now);
+        m_owner->handle_start_answer(order, order_outcome::accepted, vm_clock(), m_now);
     }
 
     void begin_run(machine& item, const start_order& order) {
         item.runs.push_back({order, m_now});
-        item.lease_until = std::max(item.lease_until, m_now + scheduler_settings{}.start_patience);
-        m_starts_too_late[order.task] += m_crashes[order.task] >= 3 ? 1 : 0;
+        item.lease_until = std::max(item.lease_until, m_now + scheduler_settings{}.start_timeout);
+        m_starts_after_three_crashes[order.task] += m_crashes[order.task] >= 3 ? 1 : 0;
         if (is_faulty(order.task) && item.crashes_at == timestamp(0)) {
             item.crashes_at = m_now + m_options.crash_delay;
         }
     }
 
     /// Orders whose time has come, late ones at their VMs and missing answers at the owner.
-    void carry_out_late() {
-        std::erase_if(m_late, [&](const late_order& late) {
+    void process_late_orders() {
+        std::erase_if(m_late_orders, [&](const late_order& late) {
             machine* item = m_now >= late.due ? machine_of(late.order.vm) : nullptr;
             if (item != nullptr && late.order.deadline >= vm_clock()) {
                 begin_run(*item, late.order);
@@ -448,7 +455,7 @@
         });
         std::erase_if(m_unanswered, [&](const late_order& late) {
             if (m_now >= late.due && m_owner) {
-                m_owner->start_answered(late.order, order_outcome::unknown, 0, m_now);
+                m_owner->handle_start_answer(late.order, order_outcome::unknown, 0, m_now);
             }
             return m_now >= late.due;
         });
@@ -459,25 +466,25 @@
         if (item == nullptr) {
             return;
         }
-        std::erase_if(item->runs, [&](const live_run& run) {
+        std::erase_if(item->runs, [&](const active_run& run) {
             if (run.order.task != order.task || run.order.attempt != order.attempt) {
                 return false;
             }
-            item->ends.push_back(pool_bench::end(++item->sequence, run.order, run_end::stopped));
+            item->ends.push_back(scheduler_fixture::end(++item->sequence, run.order, run_end::stopped));
             return true;
         });
-        m_owner->stop_answered(order, order_outcome::accepted, vm_clock(), m_now);
+        m_owner->handle_stop_answer(order, order_outcome::accepted, vm_clock(), m_now);
     }
 
     void begin_write() {
         if (!m_owner || !m_writes.empty() || !m_owner->has_changes()) {
             return;
         }
-        open_write write;
-        write.round = m_owner->begin_store();
-        for (const std::string& id : write.round.jobs) {
+        pending_write write;
+        write.batch = m_owner->begin_store_batch();
+        for (const std::string& id : write.batch.jobs) {
             const job_state* job = m_owner->find_job(id);
-            write.jobs[id] = {job->changed, job->progress()};
+            write.jobs[id] = {job->change_count, job->progress()};
         }
         write.due = std::max(m_now + store_time, m_store_until);
         m_writes.push_back(std::move(write));
@@ -487,16 +494,16 @@
         if (m_writes.empty() || m_now < m_writes.front().due) {
             return;
         }
-        const open_write write = std::move(m_writes.front());
+        const pending_write write = std::move(m_writes.front());
         m_writes.clear();
         for (const auto& [id, item] : write.jobs) {
             m_stored[id] = item.second;
             if (m_owner) {
-                m_owner->job_stored(id, item.first, m_now);
+                m_owner->mark_job_stored(id, item.first, m_now);
             }
         }
         if (m_owner) {
-            m_owner->round_stored(write.round);
+            m_owner->mark_batch_stored(write.batch);
         }
     }
 
@@ -509,19 +516,19 @@
     std::map<std::string, job_record> m_records;
     std::map<std::string, job_progress> m_stored;
     std::map<std::string, vm_info> m_recorded; ///< VMs that have had runs.
-    std::vector<open_write> m_writes;
+    std::vector<pending_write> m_writes;
     timestamp m_store_until{0};
     std::map<std::string, std::uint32_t> m_faulty;
     std::map<task_id, std::size_t> m_crashes; ///< VMs that faulty tasks have crashed.
-    std::map<task_id, std::size_t> m_starts_too_late;
+    std::map<task_id, std::size_t> m_starts_after_three_crashes;
     std::map<task_id, timestamp> m_lost_at;
-    std::map<std::string, timestamp> m_delist;
-    std::vector<late_order> m_late;
+    std::map<std::string, timestamp> m_delist_at;
+    std::vector<late_order> m_late_orders;
     std::vector<late_order> m_unanswered;
     std::size_t m_orders = 0;
     std::size_t m_arrived = 0;
-    std::size_t m_most_crashed = 0;
-    milliseconds m_longest_hold{0};
+    std::size_t m_max_crashed_vms = 0;
+    milliseconds m_longest_restart_delay{0};
 };
 
 } // namespace siskinpaddle::tests
--- a/tests/jobs/demand_peak_replay.hpp
+++ b/tests/jobs/demand_peak_replay.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "jobs/pool_bench.hpp"
+#include "jobs/scheduler_fixture.hpp"
 
 #include <map>
 #include <string>
@@ -25,23 +25,23 @@
         add_vm("v2");
     }
 
-    pool_bench& bench() { return m_bench; }
+    scheduler_fixture& bench() { return m_bench; }
 
     void add_vm(const std::string& name) {
-        m_bench.vm(name);
+        m_bench.add_vm(name);
         m_vms.push_back(name);
     }
 
     /// Passes a step in which so many jobs are handed in.
     void advance(int jobs) {
-        m_bench.pass(100ms);
+        m_bench.advance_clock(100ms);
         for (int i = 0; i < jobs; ++i) {
             submit("j" + std::to_string(m_result.submitted++));
         }
         for (const std::string& vm : m_vms) {
             report(vm);
         }
-        m_bench.store();
+        m_bench.store_changes();
         for (const start_order& order : m_bench.start_all()) {
             m_running.emplace_back(m_bench.now(), order);
         }
@@ -60,12 +60,12 @@
     static constexpr milliseconds objective = 2200ms;
 
     void submit(const std::string& id) {
-        const job_record record = pool_bench::record(id, {pool_bench::step(8)});
-        if (!m_bench.pool().judge(record.spec).accepted) {
+        const job_record record = scheduler_fixture::record(id, {scheduler_fixture::step(8)});
+        if (!m_bench.pool().check_admission(record.spec).accepted) {
             ++m_refused;
             return;
         }
-        m_bench.job(id, record.spec.steps);
+        m_bench.add_job(id, record.spec.steps);
         m_accepted[id] = m_bench.now();
     }
 
@@ -78,10 +78,10 @@
                 return false;
             }
             if (m_bench.now() - began < 1000ms) {
-                alive.push_back(pool_bench::running(order));
+                alive.push_back(scheduler_fixture::running(order));
                 return false;
             }
-            ended.push_back(pool_bench::end(++m_sequences[vm], order, run_end::done));
+            ended.push_back(scheduler_fixture::end(++m_sequences[vm], order, run_end::done));
             return true;
         });
         m_bench.report(vm, alive, ended);
@@ -100,7 +100,7 @@
         });
     }
 
-    pool_bench m_bench;
+    scheduler_fixture m_bench;
     std::vector<std::string> m_vms;
     std::map<std::string, timestamp> m_accepted; ///< Not done yet: when each was accepted.
     std::vector<std::pair<timestamp, start_order>> m_running;
--- a/tests/jobs/faulty_tasks_test.cpp
+++ b/tests/jobs/faulty_tasks_test.cpp
@@ -1,4 +1,4 @@
-#include "jobs/crash_replay.hpp"
+#include "jobs/crash_simulation.hpp"
 
 #include <cstdlib>
 #include <random>
@@ -10,43 +10,44 @@
 namespace {
 
 /// After three VMs have crashed under it a faulty task is started at most so often.
-constexpr std::size_t most_late_starts = 2;
+constexpr std::size_t max_starts_after_three_crashes = 2;
 /// From a crash until its VM's next life shows it, and what an isolated start may wait for.
-constexpr milliseconds longest_hold = 3500ms + 2500ms;
-constexpr milliseconds takeover = 2200ms;
+constexpr milliseconds max_restart_delay = 3500ms + 2500ms;
+constexpr milliseconds takeover_gap = 2200ms;
 
 struct row {
     std::string name;
-    crash_replay::options options;
-    std::function<void(crash_replay&)> prepare;
-    milliseconds hold_bound = longest_hold;
+    crash_simulation::options options;
+    std::function<void(crash_simulation&)> prepare;
+    milliseconds restart_delay_bound = max_restart_delay;
     milliseconds length{60'000};
 };
 
 using step_change = std::function<void(step_spec&)>;
 
 /// When the faulty job arrives: the pool is at work by then.
-constexpr milliseconds faulty_at = 3000ms;
+constexpr milliseconds faulty_job_at = 3000ms;
 
-void add_faulty(crash_replay& replay, std::uint32_t tasks, std::int64_t cores, const step_change& change) {
-    step_spec step = pool_bench::step(tasks, cores * 1000);
+void add_faulty(crash_simulation& replay, std::uint32_t tasks, std::int64_t cores,
+                const step_change& change) {
+    step_spec step = scheduler_fixture::step(tasks, cores * 1000);
     if (change) {
         change(step);
     }
-    replay.add_job(pool_bench::record("faulty", {step}), 0);
+    replay.add_job(scheduler_fixture::record("faulty", {step}), 0);
 }
 
 /// A job arrives whose first task is faulty. At each of the moments after that something else happens.
-std::function<void(crash_replay&)> faulty(std::uint32_t tasks, std::int64_t cores,
-                                          const step_change& change = {},
-                                          const std::vector<milliseconds>& moments = {},
-                                          const std::function<void(crash_replay&)>& event = {}) {
-    return [=](crash_replay& replay) {
+std::function<void(crash_simulation&)>
+with_faulty_job(std::uint32_t tasks, std::int64_t cores, const step_change& change = {},
+                const std::vector<milliseconds>& moments = {},
+                const std::function<void(crash_simulation&)>& event = {}) {
+    return [=](crash_simulation& replay) {
         replay.on_step = [=, &replay](milliseconds passed) {
-            if (passed == faulty_at) {
+            if (passed == faulty_job_at) {
                 add_faulty(replay, tasks, cores, change);
             }
-            if (std::ranges::find(moments, passed - faulty_at) != moments.end()) {
+            if (std::ranges::find(moments, passed - faulty_job_at) != moments.end()) {
                 event(replay);
             }
         };
@@ -54,9 +55,10 @@
 }
 
 /// At each of the moments something happens; no task is faulty.
-std::function<void(crash_replay&)> at(const std::vector<milliseconds>& moments,
-                                      const std::function<void(crash_replay&, std::size_t)>& event) {
-    return [=](crash_replay& replay) {
+std::function<void(crash_simulation&)>
+at_moments(const std::vector<milliseconds>& moments,
+           const std::function<void(crash_simulation&, std::size_t)>& event) {
+    return [=](crash_simulation& replay) {
         replay.on_step = [&replay, moments, event](milliseconds passed) {
             const auto found = std::ranges::find(moments, passed);
             if (found != moments.end()) {
@@ -67,23 +69,23 @@
 }
 
 /// Crashes the machines of a rack together.
-void lose_rack(crash_replay& replay, const std::string& rack, milliseconds down_time, bool quiet) {
+void lose_rack(crash_simulation& replay, const std::string& rack, milliseconds down_time, bool quiet) {
     for (std::size_t i = 0; i < replay.machines(); ++i) {
         if (replay.rack_of(i) == rack) {
-            replay.crash(i, down_time, quiet);
+            replay.crash_vm(i, down_time, quiet);
         }
     }
 }
 
-crash_replay::result play(const row& item) {
-    crash_replay replay(item.options);
+crash_simulation::result run_scenario(const row& item) {
+    crash_simulation replay(item.options);
     if (item.prepare) {
         item.prepare(replay);
     }
     replay.run(item.length);
-    const crash_replay::result result = replay.outcome();
-    MESSAGE(item.name, ": late starts ", result.starts_too_late, ", VMs down ", result.most_crashed,
-            ", longest hold ", result.longest_hold.count(), " ms");
+    const crash_simulation::result result = replay.outcome();
+    MESSAGE(item.name, ": late starts ", result.starts_after_three_crashes, ", VMs down ",
+            result.max_crashed_vms, ", longest hold ", result.longest_restart_delay.count(), " ms");
     return result;
 }
 
@@ -94,60 +96,65 @@
     const milliseconds any_time = 60'000ms; // Where there is no room, or nobody decides for a while.
     const step_change gang = [](step_spec& step) { step.gang = true; };
     const step_change copies = [](step_spec& step) { step.speculative = true; };
-    const step_change endless = [](step_spec& step) { step.endless = true; };
-    const auto kill = [](crash_replay& replay) { replay.kill_owner(takeover); };
-    const auto silence = [](crash_replay& replay) { replay.silence_store(3000ms); };
+    const step_change long_running = [](step_spec& step) { step.long_running = true; };
+    const auto kill = [](crash_simulation& replay) { replay.kill_owner(takeover_gap); };
+    const auto silence = [](crash_simulation& replay) { replay.silence_store(3000ms); };
     const std::vector<row> rows{
-        {"alone on each VM", {}, faulty(1, 2)},
-        {"ten tasks of its own job beside it", {}, faulty(10, 2)},
-        {"beside five sound tasks a VM", {.jobs_per_s = 8}, faulty(1, 4)},
-        {"a pool of two VMs", {.machines = 2, .jobs_per_s = 1}, faulty(4, 2), any_time},
-        {"a pool of one VM", {.machines = 1, .jobs_per_s = 1, .tasks = 2}, faulty(1, 2), any_time},
-        {"a full pool", {.machines = 6, .jobs_per_s = 7}, faulty(2, 4), any_time},
-        {"a gang of which one is faulty", {.jobs_per_s = 2}, faulty(12, 4, gang)},
-        {"a step with copies", {.jobs_per_s = 2}, faulty(3, 4, copies)},
-        {"a long-running task", {.jobs_per_s = 2}, faulty(3, 4, endless)},
-        {"it crashes its VM after half a second", {.crash_delay = 500ms, .jobs_per_s = 4}, faulty(2, 4)},
+        {"alone on each VM", {}, with_faulty_job(1, 2)},
+        {"ten tasks of its own job beside it", {}, with_faulty_job(10, 2)},
+        {"beside five sound tasks a VM", {.jobs_per_s = 8}, with_faulty_job(1, 4)},
+        {"a pool of two VMs", {.machines = 2, .jobs_per_s = 1}, with_faulty_job(4, 2), any_time},
+        {"a pool of one VM", {.machines = 1, .jobs_per_s = 1, .tasks = 2}, with_faulty_job(1, 2), any_time},
+        {"a full pool", {.machines = 6, .jobs_per_s = 7}, with_faulty_job(2, 4), any_time},
+        {"a gang of which one is faulty", {.jobs_per_s = 2}, with_faulty_job(12, 4, gang)},
+        {"a step with copies", {.jobs_per_s = 2}, with_faulty_job(3, 4, copies)},
+        {"a long-running task", {.jobs_per_s = 2}, with_faulty_job(3, 4, long_running)},
+        {"it crashes its VM after half a second",
+         {.crash_delay = 500ms, .jobs_per_s = 4},
+         with_faulty_job(2, 4)},
         {"VMs that come back after their lease",
          {.down_time = 9000ms, .jobs_per_s = 2},
-         faulty(2, 4),
+         with_faulty_job(2, 4),
          any_time},
         {"a tenth of a queue",
          {.machines = 20, .jobs_per_s = 10, .faulty_one_in = 10},
          {},
-         longest_hold,
+         max_restart_delay,
          90'000ms},
-        {"starts without an answer", {.jobs_per_s = 4, .unanswered_one_in = 3}, faulty(3, 4)},
-        {"starts that are carried out late", {.jobs_per_s = 4, .late_one_in = 5}, faulty(3, 4), any_time},
+        {"starts without an answer", {.jobs_per_s = 4, .unanswered_one_in = 3}, with_faulty_job(3, 4)},
+        {"starts that are carried out late",
+         {.jobs_per_s = 4, .late_one_in = 5},
+         with_faulty_job(3, 4),
+         any_time},
         {"an owner that dies before the first crash shows",
          {.jobs_per_s = 3},
-         faulty(3, 4, {}, {1000ms}, kill),
+         with_faulty_job(3, 4, {}, {1000ms}, kill),
          any_time},
         {"owners that die one after the other",
          {.jobs_per_s = 3},
-         faulty(3, 4, {}, {3800ms, 7800ms, 13'000ms}, kill),
+         with_faulty_job(3, 4, {}, {3800ms, 7800ms, 13'000ms}, kill),
          any_time},
         {"a store that is silent at each crash",
          {.jobs_per_s = 3},
-         faulty(3, 4, {}, {3000ms, 8000ms, 13'000ms}, silence),
+         with_faulty_job(3, 4, {}, {3000ms, 8000ms, 13'000ms}, silence),
          any_time},
     };
     for (const row& item : rows) {
         INFO(item.name);
-        const crash_replay::result result = play(item);
-        CHECK(result.faulty_left == 0);
-        CHECK(result.starts_too_late <= most_late_starts);
-        CHECK(result.sound_failed == 0);
-        CHECK(result.sound_left == 0);
+        const crash_simulation::result result = run_scenario(item);
+        CHECK(result.faulty_not_failed == 0);
+        CHECK(result.starts_after_three_crashes <= max_starts_after_three_crashes);
+        CHECK(result.healthy_failed == 0);
+        CHECK(result.healthy_unfinished == 0);
         CHECK(result.suspects_left == 0);
-        CHECK(result.longest_hold <= item.hold_bound);
+        CHECK(result.longest_restart_delay <= item.restart_delay_bound);
     }
 }
 
 // Guards against sound tasks that are given up since their VMs ended for reasons of their own.
 TEST_CASE("no task is given up for VMs that end for reasons of their own") {
-    using replay_ref = crash_replay&;
-    const crash_replay::options busy{.machines = 16, .jobs_per_s = 12, .arrivals = 20'000ms};
+    using replay_ref = crash_simulation&;
+    const crash_simulation::options busy{.machines = 16, .jobs_per_s = 12, .arrivals = 20'000ms};
     std::vector<milliseconds> each_second;
     std::vector<milliseconds> each_four_seconds;
     for (int i = 1; i <= 20; ++i) {
@@ -155,43 +162,52 @@
         each_four_seconds.emplace_back(i * 4000);
     }
     const std::vector<row> rows{
-        {"a rack", busy, at({5000ms}, [](replay_ref r, std::size_t) { lose_rack(r, "r1", 3500ms, false); })},
+        {"a rack", busy,
+         at_moments({5000ms}, [](replay_ref r, std::size_t) { lose_rack(r, "r1", 3500ms, false); })},
         {"a rack goes dark", busy,
-         at({5000ms}, [](replay_ref r, std::size_t) { lose_rack(r, "r1", 9000ms, true); })},
+         at_moments({5000ms}, [](replay_ref r, std::size_t) { lose_rack(r, "r1", 9000ms, true); })},
         {"racks one after the other", busy,
-         at({4000ms, 8000ms, 12'000ms, 16'000ms},
-            [](replay_ref r, std::size_t turn) { lose_rack(r, "r" + std::to_string(turn), 3500ms, false); })},
+         at_moments({4000ms, 8000ms, 12'000ms, 16'000ms},
+                    [](replay_ref r, std::size_t turn) {
+                        lose_rack(r, "r" + std::to_string(turn), 3500ms, false);
+                    })},
         {"half of the pool", busy,
-         at({5000ms, 10'000ms},
-            [](replay_ref r, std::size_t turn) {
-                lose_rack(r, "r" + std::to_string(2 * turn), 3500ms, false);
-                lose_rack(r, "r" + std::to_string(2 * turn + 1), 3500ms, false);
-            })},
+         at_moments({5000ms, 10'000ms},
+                    [](replay_ref r, std::size_t turn) {
+                        lose_rack(r, "r" + std::to_string(2 * turn), 3500ms, false);
+                        lose_rack(r, "r" + std::to_string(2 * turn + 1), 3500ms, false);
+                    })},
         {"a VM each second", busy,
-         at(each_second, [](replay_ref r, std::size_t turn) { r.crash(turn % 16, 3500ms); })},
+         at_moments(each_second, [](replay_ref r, std::size_t turn) { r.crash_vm(turn % 16, 3500ms); })},
         {"the same two VMs again and again", busy,
-         at(each_four_seconds, [](replay_ref r, std::size_t) { r.crash(0, 2000ms), r.crash(1, 2500ms); })},
+         at_moments(each_four_seconds,
+                    [](replay_ref r, std::size_t) { r.crash_vm(0, 2000ms), r.crash_vm(1, 2500ms); })},
         {"VMs that never come back", busy,
-         at({5000ms, 6000ms, 7000ms}, [](replay_ref r, std::size_t turn) { r.crash(turn, 300'000ms); })},
+         at_moments({5000ms, 6000ms, 7000ms},
+                    [](replay_ref r, std::size_t turn) { r.crash_vm(turn, 300'000ms); })},
         {"VMs that are drained and leave", busy,
-         at({4000ms, 6000ms, 8000ms, 10'000ms},
-            [](replay_ref r, std::size_t turn) {
-                turn % 2 == 0 ? r.drain(turn) : r.crash(turn - 1, 3500ms);
-            })},
+         at_moments({4000ms, 6000ms, 8000ms, 10'000ms},
+                    [](replay_ref r, std::size_t turn) {
+                        turn % 2 == 0 ? r.drain_vm(turn) : r.crash_vm(turn - 1, 3500ms);
+                    })},
         {"VMs that are only silent, past their lease", busy,
-         at({5000ms, 7000ms},
-            [](replay_ref r, std::size_t turn) { r.cut_off(turn, 8000ms), r.cut_off(turn + 4, 8000ms); })},
+         at_moments({5000ms, 7000ms},
+                    [](replay_ref r, std::size_t turn) {
+                        r.make_unreachable(turn, 8000ms), r.make_unreachable(turn + 4, 8000ms);
+                    })},
         {"a VM each two seconds, and owners that die", busy,
-         at(each_second,
-            [](replay_ref r, std::size_t turn) {
-                turn % 4 == 3 ? r.kill_owner(takeover) : turn % 2 == 0 ? r.crash(turn % 16, 3500ms) : void();
-            })},
+         at_moments(each_second,
+                    [](replay_ref r, std::size_t turn) {
+                        turn % 4 == 3   ? r.kill_owner(takeover_gap)
+                        : turn % 2 == 0 ? r.crash_vm(turn % 16, 3500ms)
+                                        : void();
+                    })},
     };
     for (const row& item : rows) {
         INFO(item.name);
-        const crash_replay::result result = play(item);
-        CHECK(result.sound_failed == 0);
-        CHECK(result.sound_left == 0);
+        const crash_simulation::result result = run_scenario(item);
+        CHECK(result.healthy_failed == 0);
+        CHECK(result.healthy_unfinished == 0);
         CHECK(result.suspects_left == 0);
     }
 }
@@ -199,32 +215,32 @@
 namespace {
 
 /// Faults of all kinds at random moments, some jobs of which are faulty. The same seed gives the same play.
-class random_play {
+class random_scenario {
   public:
-    explicit random_play(std::uint64_t seed) : m_random(seed), m_replay(options_of()) {
+    explicit random_scenario(std::uint64_t seed) : m_random(seed), m_replay(options_of()) {
         m_replay.on_step = [this](milliseconds passed) {
             if (passed <= faults_until && below(fault_one_in) == 0) {
-                fault();
+                inject_fault();
             }
             if (passed <= faults_until && below(faulty_one_in) == 0) {
-                faulty_job();
+                add_faulty_job();
             }
         };
-        m_replay.run(faults_until + settle);
+        m_replay.run(faults_until + settle_time);
     }
 
-    [[nodiscard]] crash_replay::result outcome() const { return m_replay.outcome(); }
+    [[nodiscard]] crash_simulation::result outcome() const { return m_replay.outcome(); }
 
   private:
     static constexpr milliseconds faults_until{25'000};
-    static constexpr milliseconds settle{60'000};
+    static constexpr milliseconds settle_time{60'000};
     static constexpr std::uint64_t fault_one_in = 250; ///< Steps of 10 ms.
     static constexpr std::uint64_t faulty_one_in = 600;
 
     std::uint64_t below(std::uint64_t bound) { return m_random() % bound; }
 
-    crash_replay::options options_of() {
-        crash_replay::options options;
+    crash_simulation::options options_of() {
+        crash_simulation::options options;
         options.machines = 3 + below(18);
         options.jobs_per_s = 1 + options.machines / 3;
         options.arrivals = 25'000ms;
@@ -234,7 +250,7 @@
         return options;
     }
 
-    void fault() {
+    void inject_fault() {
         const std::size_t machine = below(m_replay.machines());
         const auto down = milliseconds(static_cast<std::int64_t>(1500 + below(7000)));
         switch (below(8)) {
@@ -242,36 +258,36 @@
             lose_rack(m_replay, m_replay.rack_of(machine), down, below(2) == 0);
             return;
         case 1:
-            m_replay.cut_off(machine, down);
+            m_replay.make_unreachable(machine, down);
             return;
         case 2:
-            m_replay.drain(machine);
+            m_replay.drain_vm(machine);
             return;
         case 3:
             m_replay.silence_store(down / 2);
             return;
         case 4:
-            m_replay.kill_owner(takeover);
+            m_replay.kill_owner(takeover_gap);
             return;
         default:
-            m_replay.crash(machine, down, below(3) == 0);
+            m_replay.crash_vm(machine, down, below(3) == 0);
         }
     }
 
-    void faulty_job() {
-        step_spec step = pool_bench::step(static_cast<std::uint32_t>(1 + below(8)), 4000);
+    void add_faulty_job() {
+        step_spec step = scheduler_fixture::step(static_cast<std::uint32_t>(1 + below(8)), 4000);
         step.gang = below(4) == 0;
-        step.endless = !step.gang && below(4) == 0;
-        m_replay.add_job(pool_bench::record("faulty" + std::to_string(m_jobs++), {step}), 0);
+        step.long_running = !step.gang && below(4) == 0;
+        m_replay.add_job(scheduler_fixture::record("faulty" + std::to_string(m_jobs++), {step}), 0);
     }
 
     std::mt19937_64 m_random;
-    crash_replay m_replay;
+    crash_simulation m_replay;
     std::size_t m_jobs = 0;
 };
 
 /// Those that the environment variable SISKINPADDLE_TEST_SEEDS names as FIRST-LAST, or a few.
-std::vector<std::uint64_t> seeds_to_play() {
+std::vector<std::uint64_t> seeds_to_run() {
     std::uint64_t first = 1;
     std::uint64_t last = 40;
     char dash = 0;
@@ -289,13 +305,13 @@
 
 // Guards against combinations of faults that no row above has.
 TEST_CASE("faulty tasks are given up, and only they, whatever else fails") {
-    for (const std::uint64_t seed : seeds_to_play()) {
+    for (const std::uint64_t seed : seeds_to_run()) {
         INFO("seed ", seed);
-        const crash_replay::result result = random_play(seed).outcome();
-        CHECK(result.starts_too_late <= most_late_starts);
-        CHECK(result.sound_failed == 0);
-        CHECK(result.sound_left == 0);
-        CHECK(result.faulty_left == 0);
+        const crash_simulation::result result = random_scenario(seed).outcome();
+        CHECK(result.starts_after_three_crashes <= max_starts_after_three_crashes);
+        CHECK(result.healthy_failed == 0);
+        CHECK(result.healthy_unfinished == 0);
+        CHECK(result.faulty_not_failed == 0);
         CHECK(result.suspects_left == 0);
     }
 }
--- a/tests/jobs/order_test.cpp
+++ b/tests/jobs/order_test.cpp
@@ -32,7 +32,7 @@
         pool_load load;
         bool accepted = false;
     };
-    const job_spec job = pool_bench::record("j", {pool_bench::step(8)}).spec;
+    const job_spec job = scheduler_fixture::record("j", {scheduler_fixture::step(8)}).spec;
     for (const admission_case& item :
          {admission_case{"nothing waits", load(0, 64), true},
           admission_case{"one second of work waits", load(64, 64), true},
@@ -47,15 +47,15 @@
 }
 
 TEST_CASE("long-running jobs are accepted whatever the load") {
-    job_record record = pool_bench::record("j", {pool_bench::step(2)});
-    record.spec.steps[0].endless = true;
+    job_record record = scheduler_fixture::record("j", {scheduler_fixture::step(2)});
+    record.spec.steps[0].long_running = true;
     CHECK(admit(record.spec, quote_queue(), 0, load(1000, 64)).accepted);
 }
 
 TEST_CASE("jobs that can still be in time go before those that are late") {
     const queue_settings queue = quote_queue();
-    const job_state early(pool_bench::record("a", {pool_bench::step(1)}).spec, timestamp(0));
-    const job_state late(pool_bench::record("b", {pool_bench::step(1)}).spec, timestamp(2000));
+    const job_state early(scheduler_fixture::record("a", {scheduler_fixture::step(1)}).spec, timestamp(0));
+    const job_state late(scheduler_fixture::record("b", {scheduler_fixture::step(1)}).spec, timestamp(2000));
     CHECK(rank_of(early, queue, early.accepted_at(), timestamp(2100)) <
           rank_of(late, queue, late.accepted_at(), timestamp(2100)));
     CHECK(rank_of(late, queue, late.accepted_at(), timestamp(2500)) <
@@ -91,13 +91,13 @@
     };
     const auto run_replay = [](std::size_t obtainable) {
         demand_peak_replay replay;
-        replay.bench().pool().expect_vms(0, obtainable);
+        replay.bench().pool().set_expected_vms(0, obtainable);
         for (int step = 0; step < 120; ++step) {
             if (step == machines_arrive_at) {
                 for (int i = 0; i < 6; ++i) {
                     replay.add_vm("w" + std::to_string(i));
                 }
-                replay.bench().pool().expect_vms(0, obtainable - std::min<std::size_t>(obtainable, 6));
+                replay.bench().pool().set_expected_vms(0, obtainable - std::min<std::size_t>(obtainable, 6));
             }
             replay.advance(step < peak_ends_at ? 2 + step % 2 : 0); // 25 jobs of eight core-seconds a second.
         }
@@ -121,7 +121,7 @@
         std::int64_t obtainable_cores = 0;
         bool accepted = false;
     };
-    const job_spec job = pool_bench::record("j", {pool_bench::step(8)}).spec;
+    const job_spec job = scheduler_fixture::record("j", {scheduler_fixture::step(8)}).spec;
     for (const admission_case& item :
          {admission_case{"none can be had", 192, 0, false},
           admission_case{"as many again can be had", 192, 64, true},
@@ -138,7 +138,7 @@
 TEST_CASE("work that is late keeps a share of the room from new jobs") {
     // Callers are told that their jobs are accepted and never hear of them again: a burst leaves jobs that
     // are late, and each new job that could still be in time goes before them, for the rest of the day.
-    const job_spec job = pool_bench::record("j", {pool_bench::step(8)}).spec;
+    const job_spec job = scheduler_fixture::record("j", {scheduler_fixture::step(8)}).spec;
     pool_load present = load(70, 64); // With all of the room 1.1 s of waiting, of 1.2 s that are allowed.
     CHECK(admit(job, quote_queue(), 1000, present).accepted);
     present.late_work = 1'000'000'000;
@@ -159,11 +159,11 @@
     for (int tenth = 0; tenth < 100; ++tenth) {
         arrivals_due += rate_at(tenth) / 10;
         for (; arrivals_due >= 1; arrivals_due -= 1) {
-            meter.arrived("j" + std::to_string(number++), 30'000'000, now); // Thirty core-seconds.
+            meter.record_arrival("j" + std::to_string(number++), 30'000'000, now); // Thirty core-seconds.
         }
         now += 100ms;
         meter.update(0, 0, now);
-        need[tenth] = static_cast<double>(meter.present()) / 1000;
+        need[tenth] = static_cast<double>(meter.current_need()) / 1000;
     }
     // Two seconds ahead: with the plain rate 0.3 of it at 30 tenths.
     CHECK(need[30] >= 0.75 * 30 * rate_at(50));
--- a/tests/jobs/pace_test.cpp
+++ b/tests/jobs/pace_test.cpp
@@ -1,4 +1,4 @@
-#include "jobs/pool_bench.hpp"
+#include "jobs/scheduler_fixture.hpp"
 
 using namespace siskinpaddle;
 using namespace siskinpaddle::tests;
@@ -7,30 +7,30 @@
 
 /// One VM with a serving task and a neighbour that lives on leftover processor time.
 struct shared_vm_fixture {
-    pool_bench b;
+    scheduler_fixture b;
     start_order serving;
     start_order leftover;
 
     shared_vm_fixture() {
-        b.vm("v1");
-        step_spec first = pool_bench::step(1);
-        first.endless = true;
-        first.target_tail_ms = 100;
-        step_spec second = pool_bench::step(1, 20'000);
-        second.endless = true;
-        second.uses_leftover = true;
-        b.job("s", {first});
+        b.add_vm("v1");
+        step_spec first = scheduler_fixture::step(1);
+        first.long_running = true;
+        first.target_tail_latency_ms = 100;
+        step_spec second = scheduler_fixture::step(1, 20'000);
+        second.long_running = true;
+        second.best_effort = true;
+        b.add_job("s", {first});
         serving = b.start_all().at(0);
-        b.job("l", {second});
+        b.add_job("l", {second});
         leftover = b.start_all().at(0);
     }
 
     /// Reports the serving task's tail and returns the pace that is ordered for the neighbour; -1: none.
     int report_tail(std::int64_t ms) {
-        b.pass(400ms);
-        running_report report = pool_bench::running(serving);
+        b.advance_clock(400ms);
+        running_report report = scheduler_fixture::running(serving);
         report.usage = ms;
-        b.report("v1", {report, pool_bench::running(leftover)});
+        b.report("v1", {report, scheduler_fixture::running(leftover)});
         const decisions wanted = b.decide();
         return wanted.paces.empty() ? -1 : wanted.paces.front().percent;
     }
--- a/tests/jobs/pool_bench.hpp
+++ b/tests/jobs/scheduler_fixture.hpp
@@ -10,9 +10,9 @@
 using namespace siskinpaddle::jobs;
 
 /// A scheduler on a bench: VMs and a clock that the test moves, orders that it answers as it likes.
-class pool_bench {
+class scheduler_fixture {
   public:
-    explicit pool_bench(std::uint32_t epoch = 0) : m_scheduler(settings(), epoch, m_now) {
+    explicit scheduler_fixture(std::uint32_t epoch = 0) : m_scheduler(settings(), epoch, m_now) {
         queue_settings queue;
         queue.name = "q";
         queue.pool = "p";
@@ -36,15 +36,15 @@
     }
 
     /// A VM that is listed and has reported once.
-    void vm(const std::string& name, std::int64_t cores = 32) {
-        m_scheduler.list_vm(info(name, cores));
+    void add_vm(const std::string& name, std::int64_t cores = 32) {
+        m_scheduler.add_or_update_vm(info(name, cores));
         report(name, {});
     }
 
-    void vm_on_rack(const std::string& rack, const std::string& name, std::int64_t cores) {
+    void add_vm_on_rack(const std::string& rack, const std::string& name, std::int64_t cores) {
         vm_info item = info(name, cores);
         item.rack = rack;
-        m_scheduler.list_vm(item);
+        m_scheduler.add_or_update_vm(item);
         report(name, {});
     }
 
@@ -65,7 +65,7 @@
         return item;
     }
 
-    void job(const std::string& id, std::vector<step_spec> steps) {
+    void add_job(const std::string& id, std::vector<step_spec> steps) {
         m_scheduler.add_job(record(id, std::move(steps)), m_now);
     }
 
@@ -74,7 +74,7 @@
 
     void report(const std::string& name, std::vector<running_report> running,
                 std::vector<end_report> ended = {}) {
-        m_scheduler.take_report(name, {vm_clock(), std::move(running), std::move(ended)}, m_now);
+        m_scheduler.handle_report(name, {vm_clock(), std::move(running), std::move(ended)}, m_now);
     }
 
     static running_report running(const start_order& order, std::int64_t percent = 100) {
@@ -85,14 +85,16 @@
         return {sequence, order.task, order.attempt, how, ""};
     }
 
-    decisions decide(bool certain = true) { return m_scheduler.decide(m_now, wall_ms(), certain); }
+    decisions decide(bool ownership_confirmed = true) {
+        return m_scheduler.decide(m_now, wall_ms(), ownership_confirmed);
+    }
 
     /// The time of day runs with our clock.
     [[nodiscard]] std::int64_t wall_ms() const { return m_now.count() + 1'000'000; }
 
     /// Decides and has every start accepted.
-    std::vector<start_order> start_all(bool certain = true) {
-        std::vector<start_order> starts = decide(certain).starts;
+    std::vector<start_order> start_all(bool ownership_confirmed = true) {
+        std::vector<start_order> starts = decide(ownership_confirmed).starts;
         for (const start_order& order : starts) {
             accept(order);
         }
@@ -101,18 +103,18 @@
 
     /// The VM accepts the start.
     void accept(const start_order& order) {
-        m_scheduler.start_answered(order, order_outcome::accepted, vm_clock(), m_now);
+        m_scheduler.handle_start_answer(order, order_outcome::accepted, vm_clock(), m_now);
     }
 
-    void pass(milliseconds time) { m_now += time; }
+    void advance_clock(milliseconds time) { m_now += time; }
 
     /// Stores all that has changed.
-    void store() {
-        const store_round round = m_scheduler.begin_store();
-        for (const std::string& id : round.jobs) {
-            m_scheduler.job_stored(id, m_scheduler.find_job(id)->changed, m_now);
+    void store_changes() {
+        const store_batch batch = m_scheduler.begin_store_batch();
+        for (const std::string& id : batch.jobs) {
+            m_scheduler.mark_job_stored(id, m_scheduler.find_job(id)->change_count, m_now);
         }
-        m_scheduler.round_stored(round);
+        m_scheduler.mark_batch_stored(batch);
     }
 
     scheduler& pool() { return m_scheduler; }
--- a/tests/jobs/start_window_test.cpp
+++ b/tests/jobs/start_window_test.cpp
@@ -1,4 +1,4 @@
-#include "jobs/pool_bench.hpp"
+#include "jobs/scheduler_fixture.hpp"
 
 using namespace siskinpaddle;
 using namespace siskinpaddle::tests;
@@ -9,12 +9,12 @@
 constexpr std::uint32_t many_tasks = 640;
 
 /// Twenty VMs of 32 cores with room for all tasks of one job.
-pool_bench pool_with_free_capacity() {
-    pool_bench b;
+scheduler_fixture pool_with_free_capacity() {
+    scheduler_fixture b;
     for (std::size_t i = 0; i < many_vms; ++i) {
-        b.vm("v" + std::to_string(i));
+        b.add_vm("v" + std::to_string(i));
     }
-    b.job("j", {pool_bench::step(many_tasks)});
+    b.add_job("j", {scheduler_fixture::step(many_tasks)});
     return b;
 }
 
@@ -30,7 +30,7 @@
     // at once, the owner sent them 668 starts in one turn, and its link of 2 Mbit/s took three seconds for
     // these: all timed out, were stopped and sent anew, and the owner's own lease renewal timed out behind
     // them.
-    pool_bench b = pool_with_free_capacity();
+    scheduler_fixture b = pool_with_free_capacity();
     const start_window_settings settings;
     std::size_t started = 0;
     for (int round = 0; round < 100 && started < many_tasks; ++round) {
@@ -46,25 +46,25 @@
 }
 
 TEST_CASE("starts that wait for answers are decided on again when half of them are answered") {
-    pool_bench b = pool_with_free_capacity();
+    scheduler_fixture b = pool_with_free_capacity();
     const std::vector<start_order> first = b.decide().starts;
     REQUIRE(first.size() < many_tasks);
     CHECK(b.decide().starts.empty());
     for (std::size_t i = 0; i < first.size(); ++i) {
-        CHECK(b.pool().may_start_more() == (i > first.size() / 2));
+        CHECK(b.pool().can_start_more() == (i > first.size() / 2));
         b.accept(first[i]);
     }
-    CHECK(b.pool().may_start_more());
+    CHECK(b.pool().can_start_more());
     CHECK(!b.decide().starts.empty());
 }
 
 TEST_CASE("VMs that don't answer hold the starts of others up for a moment only") {
     // A rack loses power while a turn of demand begins. The starts on their way to it are never answered; the
     // rest of the pool must not wait for their timeout.
-    pool_bench b = pool_with_free_capacity();
+    scheduler_fixture b = pool_with_free_capacity();
     const std::size_t first = b.decide().starts.size();
     REQUIRE(first < many_tasks);
-    b.pass(start_window_settings{}.answer_timeout + 1ms);
+    b.advance_clock(start_window_settings{}.answer_timeout + 1ms);
     CHECK(b.decide().starts.size() == first);
 }
 
@@ -72,20 +72,20 @@
     // A VM is cut off while a dozen cancelled tasks run there. Repeated every 0.6 s for each of them, the
     // stops of a whole zone take up the link of the pool's owner; they can't arrive, and the VM's lease ends
     // the runs.
-    pool_bench b;
-    b.vm("v1");
-    b.job("j", {pool_bench::step(4)});
+    scheduler_fixture b;
+    b.add_vm("v1");
+    b.add_job("j", {scheduler_fixture::step(4)});
     const std::vector<start_order> starts = b.decide().starts;
     for (const start_order& order : starts) {
         b.accept(order);
     }
     b.pool().cancel("j", b.now());
     CHECK(b.decide().stops.size() == starts.size());
-    b.pool().vm_unreachable("v1", b.now());
-    b.pass(700ms);
+    b.pool().handle_vm_unreachable("v1", b.now());
+    b.advance_clock(700ms);
     CHECK(b.decide().stops.empty());
-    b.report("v1", {pool_bench::running(starts.front())});
-    b.pass(1ms);
+    b.report("v1", {scheduler_fixture::running(starts.front())});
+    b.advance_clock(1ms);
     CHECK(!b.decide().stops.empty());
 }
 
@@ -93,14 +93,14 @@
     // Callers are told that their jobs are accepted and wait for six seconds, while other pools lack the VMs
     // that idle here: the pool has room for all that waits, but its owner's link lets out a fifth of the
     // starts that would fill it. Counted by room the queue looks short, and further VMs seem to help.
-    pool_bench b = pool_with_free_capacity();
+    scheduler_fixture b = pool_with_free_capacity();
     const std::int64_t capacity = b.pool().load().usable_millicores;
-    b.job("k", {pool_bench::step(many_tasks)});
+    b.add_job("k", {scheduler_fixture::step(many_tasks)});
     std::vector<start_order> unanswered;
     for (int round = 0; round < 6; ++round) {
         const std::vector<start_order> starts = b.decide().starts;
         unanswered.insert(unanswered.end(), starts.begin(), starts.end());
-        b.pass(100ms);
+        b.advance_clock(100ms);
         // A third of the window is answered in a tenth of a second.
         const std::size_t answered = std::min<std::size_t>(27, unanswered.size());
         for (std::size_t i = 0; i < answered; ++i) {
@@ -111,15 +111,15 @@
     const pool_load load = b.pool().load();
     REQUIRE(load.sustained_millicores);
     CHECK(*load.sustained_millicores < capacity);
-    CHECK(load.wait().count() == load.waiting_work / *load.sustained_millicores);
+    CHECK(load.queue_wait().count() == load.waiting_work / *load.sustained_millicores);
     CHECK(b.pool().demand(b.now()).need_millicores <= *load.sustained_millicores);
 }
 
 TEST_CASE("a burst that goes out at once says nothing about a rate") {
-    pool_bench b = pool_with_free_capacity();
+    scheduler_fixture b = pool_with_free_capacity();
     for (int round = 0; round < 20; ++round) {
         b.start_all();
-        b.pass(5ms);
+        b.advance_clock(5ms);
     }
     CHECK(!b.pool().load().sustained_millicores);
 }
--- a/tests/jobs/suspicion_test.cpp
+++ b/tests/jobs/suspicion_test.cpp
@@ -1,4 +1,4 @@
-#include "jobs/pool_bench.hpp"
+#include "jobs/scheduler_fixture.hpp"
 
 using namespace siskinpaddle;
 using namespace siskinpaddle::tests;
@@ -6,7 +6,8 @@
 namespace {
 
 /// One VM's end after the other.
-std::vector<crash_evidence> ends(const std::vector<evidence_kind>& kinds, vm_fate fate = vm_fate::ended) {
+std::vector<crash_evidence> ends(const std::vector<evidence_kind>& kinds,
+                                 end_certainty fate = end_certainty::ended) {
     std::vector<crash_evidence> evidence;
     evidence.reserve(kinds.size());
     for (const evidence_kind kind : kinds) {
@@ -41,35 +42,36 @@
         row{"one under an earlier owner", ends({shared, inferred, alone}), suspicion::isolated},
         row{"and one more", ends({shared, inferred, alone, alone}), suspicion::given_up},
         row{"two crashes at quite another age",
-            {{"v0", shared, vm_fate::ended, 12}, {"v1", shared, vm_fate::ended, 900}},
+            {{"v0", shared, end_certainty::ended, 12}, {"v1", shared, end_certainty::ended, 900}},
             suspicion::suspected},
         row{"two at one age after one at another",
-            {{"v0", shared, vm_fate::ended, 1228},
-             {"v1", shared, vm_fate::ended, 12},
-             {"v2", shared, vm_fate::ended, 14}},
+            {{"v0", shared, end_certainty::ended, 1228},
+             {"v1", shared, end_certainty::ended, 12},
+             {"v2", shared, end_certainty::ended, 14}},
             suspicion::isolated},
         row{"and a third, alone",
-            {{"v0", shared, vm_fate::ended, 1228},
-             {"v1", shared, vm_fate::ended, 12},
-             {"v2", shared, vm_fate::ended, 14},
-             {"v3", alone, vm_fate::ended, 12}},
+            {{"v0", shared, end_certainty::ended, 1228},
+             {"v1", shared, end_certainty::ended, 12},
+             {"v2", shared, end_certainty::ended, 14},
+             {"v3", alone, end_certainty::ended, 12}},
             suspicion::given_up},
         row{"the third, alone, at quite another age",
-            {{"v0", shared, vm_fate::ended, 12},
-             {"v1", shared, vm_fate::ended, 20},
-             {"v2", alone, vm_fate::ended, 900}},
+            {{"v0", shared, end_certainty::ended, 12},
+             {"v1", shared, end_certainty::ended, 20},
+             {"v2", alone, end_certainty::ended, 900}},
             suspicion::isolated},
         row{"one loss of many", ends({mass}), suspicion::noted},
         row{"two of them", ends({mass, mass}), suspicion::suspected},
         row{"and a crash alone", ends({mass, mass, alone}), suspicion::isolated},
         row{"and another", ends({mass, mass, alone, alone}), suspicion::given_up},
-        row{"VMs that are silent past their lease", ends({alone, alone}, vm_fate::lapsed),
+        row{"VMs that are silent past their lease", ends({alone, alone}, end_certainty::lease_expired),
             suspicion::suspected},
         row{"the fifth end in a row", ends({mass, shared, mass, inferred, mass}), suspicion::given_up},
         row{"four that another task explains, and one",
             ends({explained, explained, explained, explained, mass}), suspicion::isolated},
         row{"crashes that another task explains", ends({explained, explained}), suspicion::suspected},
-        row{"VMs that don't answer just now", ends({alone, alone, alone}, vm_fate::silent), suspicion::none},
+        row{"VMs that don't answer just now", ends({alone, alone, alone}, end_certainty::unresponsive),
+            suspicion::none},
     };
     for (const row& item : rows) {
         INFO(item.name);
@@ -85,13 +87,13 @@
         bool draining;
         bool mass;
         std::vector<ended_run> runs;
-        std::vector<blamed_run> expected;
+        std::vector<suspect_run> expected;
     };
     const ended_run one{task_of("a"), 1, fresh, true};
     const ended_run same_job{task_of("a", 1), 1, fresh, true};
     const ended_run other{task_of("b"), 1, 700ms, true};
     const ended_run unanswered{task_of("b"), 1, 0ms, false};
-    const ended_run lasting{task_of("c"), 1, proven_after, true};
+    const ended_run long_run{task_of("c"), 1, proven_after, true};
     const std::array rows{
         row{"a task by itself", vm_end_cause::replaced, false, false, {one}, {{one.task, alone, fresh}}},
         row{"tasks of one job",
@@ -104,13 +106,13 @@
             vm_end_cause::replaced,
             false,
             false,
-            {one, lasting},
+            {one, long_run},
             {{one.task, alone, fresh}}},
         row{"beside another job's",
             vm_end_cause::replaced,
             false,
             false,
-            {one, other, lasting},
+            {one, other, long_run},
             {{one.task, shared, fresh}, {other.task, shared, 700ms}}},
         row{"beside one whose start was not answered",
             vm_end_cause::replaced,
@@ -118,7 +120,7 @@
             false,
             {one, unanswered},
             {{one.task, shared, fresh}, {unanswered.task, shared, 0ms}}},
-        row{"only one that has run for long", vm_end_cause::replaced, false, false, {lasting}, {}},
+        row{"only one that has run for long", vm_end_cause::replaced, false, false, {long_run}, {}},
         row{"a rack is lost", vm_end_cause::replaced, false, true, {one}, {{one.task, mass, fresh}}},
         row{"it is only silent",
             vm_end_cause::lease_expired,
@@ -136,15 +138,15 @@
         end.cause = item.cause;
         end.draining = item.draining;
         end.runs = item.runs;
-        CHECK(blame(end, item.mass) == item.expected);
+        CHECK(find_suspect_runs(end, item.mass) == item.expected);
     }
 }
 
 TEST_CASE("a loss of many VMs is told from single ends") {
     struct row {
         std::string name;
-        std::vector<milliseconds> ended;  ///< When others that ended went silent.
-        std::vector<milliseconds> silent; ///< When those did that don't answer now.
+        std::vector<milliseconds> ended;        ///< When others that ended went silent.
+        std::vector<milliseconds> unresponsive; ///< When those did that don't answer now.
         std::size_t vms;
         bool expected;
     };
@@ -159,15 +161,15 @@
     const timestamp moment{100'000};
     for (const row& item : rows) {
         INFO(item.name);
-        recent_ends ends;
+        recent_vm_ends ends;
         for (const milliseconds at : item.ended) {
             ends.add("v" + std::to_string(at.count()), moment + at, moment + 4s);
         }
-        std::vector<timestamp> silent;
-        for (const milliseconds at : item.silent) {
-            silent.push_back(moment + at);
+        std::vector<timestamp> unresponsive;
+        for (const milliseconds at : item.unresponsive) {
+            unresponsive.push_back(moment + at);
         }
-        CHECK(is_mass_loss(ends.together(moment, silent), item.vms) == item.expected);
+        CHECK(is_mass_loss(ends.count_simultaneous(moment, unresponsive), item.vms) == item.expected);
     }
 }
 
@@ -175,15 +177,15 @@
     job_progress plain;
     plain.done = "01";
     job_progress held = plain;
-    held.crashes[0] = {{"i-86d8894b43", evidence_kind::shared, vm_fate::ended, 12},
-                       {"i-c7eaf345da", evidence_kind::alone, vm_fate::ended, 14}};
+    held.crashes[0] = {{"i-86d8894b43", evidence_kind::shared, end_certainty::ended, 12},
+                       {"i-c7eaf345da", evidence_kind::alone, end_certainty::ended, 14}};
     const std::string bytes = encode_archive(held);
     const auto read = decode_archive<job_progress>(bytes);
     REQUIRE(read);
     CHECK(read.value().crashes == held.crashes);
     CHECK(decode_archive<job_progress>(encode_archive(plain)).value().crashes.empty());
 
-    job_state job(pool_bench::record("j", {pool_bench::step(2)}).spec, timestamp(0));
+    job_state job(scheduler_fixture::record("j", {scheduler_fixture::step(2)}).spec, timestamp(0));
     job.restore(read.value());
     CHECK(suspicion_of(job.task(task_of("j")).crashes) == suspicion::isolated);
     CHECK(job.progress().crashes == held.crashes);
--- a/tests/jobs/takeover_budget_test.cpp
+++ b/tests/jobs/takeover_budget_test.cpp
@@ -1,4 +1,4 @@
-#include "jobs/pool_bench.hpp"
+#include "jobs/scheduler_fixture.hpp"
 
 using namespace siskinpaddle;
 using namespace siskinpaddle::tests;
@@ -9,22 +9,22 @@
 
 /// Two long-running tasks on two VMs, as their reports tell a new owner.
 struct taken_over_pool {
-    pool_bench bench{1};
+    scheduler_fixture fixture{1};
     std::vector<start_order> runs;
 
     taken_over_pool() {
-        step_spec step = pool_bench::step(2);
-        step.endless = true;
+        step_spec step = scheduler_fixture::step(2);
+        step.long_running = true;
         step.disruption_budget = budget;
-        bench.pool().restore_job(pool_bench::record("j", {step}), std::nullopt, bench.now());
+        fixture.pool().restore_job(scheduler_fixture::record("j", {step}), std::nullopt, fixture.now());
         for (std::uint32_t index = 0; index < 2; ++index) {
             const std::string vm = "v" + std::to_string(index);
-            bench.pool().expect_vm(pool_bench::info(vm));
-            bench.pool().list_vm(pool_bench::info(vm));
+            fixture.pool().expect_vm(scheduler_fixture::info(vm));
+            fixture.pool().add_or_update_vm(scheduler_fixture::info(vm));
             runs.push_back({vm, {"j", 0, 0, index}, 1, 0, {}, {}});
-            bench.report(vm, {pool_bench::running(runs.back())});
+            fixture.report(vm, {scheduler_fixture::running(runs.back())});
         }
-        bench.pool().cordon("v0", true);
+        fixture.pool().cordon("v0", true);
     }
 };
 
@@ -36,21 +36,21 @@
     // as running at full share until then. The new owner takes them for at work, and stops as many others for
     // the same upkeep.
     taken_over_pool p;
-    CHECK(p.bench.decide().stops.empty());
-    p.bench.pass(500ms);
-    p.bench.report("v0", {pool_bench::running(p.runs[0])});
-    p.bench.report("v1", {},
-                   {pool_bench::end(1, p.runs[1], run_end::stopped)}); // Ordered by the earlier owner.
-    p.bench.pass(600ms);
-    p.bench.report("v0", {pool_bench::running(p.runs[0])});
-    CHECK(p.bench.decide().stops.empty()); // The other one is away.
+    CHECK(p.fixture.decide().stops.empty());
+    p.fixture.advance_clock(500ms);
+    p.fixture.report("v0", {scheduler_fixture::running(p.runs[0])});
+    p.fixture.report(
+        "v1", {}, {scheduler_fixture::end(1, p.runs[1], run_end::stopped)}); // Ordered by the earlier owner.
+    p.fixture.advance_clock(600ms);
+    p.fixture.report("v0", {scheduler_fixture::running(p.runs[0])});
+    CHECK(p.fixture.decide().stops.empty()); // The other one is away.
 }
 
 TEST_CASE("a new owner goes on emptying VMs once no stop of the one before can take effect any more") {
     taken_over_pool p;
-    p.bench.pass(scheduler_settings{}.stop_time + 1ms);
+    p.fixture.advance_clock(scheduler_settings{}.max_stop_time + 1ms);
     for (const start_order& order : p.runs) {
-        p.bench.report(order.vm, {pool_bench::running(order)});
+        p.fixture.report(order.vm, {scheduler_fixture::running(order)});
     }
-    CHECK(p.bench.decide().stops.size() == 1);
+    CHECK(p.fixture.decide().stops.size() == 1);
 }
--- a/tests/jobs/vm_end_test.cpp
+++ b/tests/jobs/vm_end_test.cpp
@@ -1,4 +1,4 @@
-#include "jobs/pool_bench.hpp"
+#include "jobs/scheduler_fixture.hpp"
 
 using namespace siskinpaddle;
 using namespace siskinpaddle::tests;
@@ -14,18 +14,18 @@
                           row{"silent past its lease", vm_end_cause::lease_expired, 6500ms}};
     for (const row& item : rows) {
         INFO(std::string(item.name));
-        pool_bench b;
-        b.vm("v1");
-        b.job("j", {pool_bench::step(2)});
+        scheduler_fixture b;
+        b.add_vm("v1");
+        b.add_job("j", {scheduler_fixture::step(2)});
         const auto starts = b.start_all();
         REQUIRE(starts.size() == 2);
         b.report("v1", {b.running(starts[0])});
-        static_cast<void>(b.pool().renewal_deadline("v1", b.now()));
-        b.pass(12ms);
-        b.pool().vm_unreachable("v1", b.now());
-        b.pass(item.passed);
+        static_cast<void>(b.pool().grant_lease_renewal("v1", b.now()));
+        b.advance_clock(12ms);
+        b.pool().handle_vm_unreachable("v1", b.now());
+        b.advance_clock(item.passed);
         if (item.cause != vm_end_cause::lease_expired) {
-            b.pool().vm_gone("v1", item.cause, b.now());
+            b.pool().handle_vm_ended("v1", item.cause, b.now());
         }
         const std::vector<vm_end> ended = b.decide().ended_vms;
         REQUIRE(ended.size() == 1);
--- a/tests/node/cancelled_runs_test.cpp
+++ b/tests/node/cancelled_runs_test.cpp
@@ -20,7 +20,7 @@
     spec.steps[0].need = {500, 64, 0};
     spec.steps[0].estimate_ms = 200;
     spec.steps[0].gang = gang;
-    spec.steps[0].endless = endless;
+    spec.steps[0].long_running = endless;
     return platform::encode_job(spec);
 }
 
@@ -32,7 +32,7 @@
     spec.steps[0].need = {500, 64, 0};
     spec.steps[0].estimate_ms = 200;
     spec.occurrences = 2;
-    spec.timed = true;
+    spec.has_due_times = true;
     spec.start_at_ms = wall_clock_ms() - 1000;
     spec.period_ms = 100;
     return platform::encode_job(spec);
--- a/tests/node/vm_entries_test.cpp
+++ b/tests/node/vm_entries_test.cpp
@@ -21,7 +21,7 @@
 std::string endless_job_body() {
     jobs::job_spec spec = one_task_record({}).spec;
     spec.payload = fakes::task_vm::endless_payload;
-    spec.steps[0].endless = true;
+    spec.steps[0].long_running = true;
     return platform::encode_job(spec);
 }
 
--- a/tests/platform/records_test.cpp
+++ b/tests/platform/records_test.cpp
@@ -154,7 +154,7 @@
     CHECK_FALSE(spec.steps[0].gang);
     CHECK(spec.steps[1].gang);
     CHECK(spec.steps[1].after == std::vector<std::uint32_t>{0});
-    CHECK_FALSE(spec.timed);
+    CHECK_FALSE(spec.has_due_times);
     CHECK(spec.occurrences == 1);
 }
 
@@ -278,9 +278,9 @@
     job.steps[0].estimate_ms = 700;
     job.steps[0].max_per_vm = 2;
     job.steps[1].after = {0};
-    job.steps[1].endless = true;
+    job.steps[1].long_running = true;
     job.steps[1].disruption_budget = 1;
-    job.timed = true;
+    job.has_due_times = true;
     job.occurrences = 2;
     job.start_at_ms = 5;
     job.period_ms = 7;
