--- a/node/configuration_task.cpp
+++ b/node/configuration_task.cpp
@@ -15,41 +15,41 @@
 /// filled with readings of the same configuration: nodes on fast links have it, and say so in each answer,
 /// before the transfer to a slow node is through. With the reading that follows still within the two seconds
 /// in which a version must be in force; on a narrow link twice what a large configuration takes.
-constexpr milliseconds heard_patience = 700ms;
-constexpr int transfer_times = 2;
+constexpr milliseconds catch_up_delay = 700ms;
+constexpr int transfer_time_factor = 2;
 
 } // namespace
 
 configuration_task::configuration_task(event_loop& loop, platform::store_client& store,
                                        std::function<void()> on_change)
     : m_on_change(std::move(on_change)),
-      m_heard_patience(
-          std::max(heard_patience, transfer_times * store.transfer_time(platform::large_value_bytes))),
-      m_behind_timer(loop.make_timer([this] { read_if_behind(); })),
+      m_catch_up_delay(
+          std::max(catch_up_delay, transfer_time_factor * store.transfer_time(platform::large_value_bytes))),
+      m_catch_up_timer(loop.make_timer([this] { refresh_if_behind(); })),
       m_watch(loop, store, std::string(platform::operator_prefix), watch_wait,
-              [this](const platform::store_item& item) { take(item); }) {}
+              [this](const platform::store_item& item) { apply_item(item); }) {}
 
-void configuration_task::heard_of(std::int64_t version) {
-    m_heard_version = std::max(m_heard_version, version);
-    if (!known() || version <= m_current.version || m_behind) {
+void configuration_task::record_peer_version(std::int64_t version) {
+    m_newest_peer_version = std::max(m_newest_peer_version, version);
+    if (!is_loaded() || version <= m_current.version || m_catch_up_pending) {
         return;
     }
-    m_behind = true;
-    m_behind_timer->start(m_heard_patience);
+    m_catch_up_pending = true;
+    m_catch_up_timer->start(m_catch_up_delay);
 }
 
-void configuration_task::read_if_behind() {
-    m_behind = false;
-    if (m_heard_version <= m_current.version) {
+void configuration_task::refresh_if_behind() {
+    m_catch_up_pending = false;
+    if (m_newest_peer_version <= m_current.version) {
         return;
     }
-    log_event(
-        event_id::fleet_config_behind,
-        {{"version", m_current.version}, {"heard_of", m_heard_version}, {"watched_at", m_watch.revision()}});
+    log_event(event_id::fleet_config_behind, {{"version", m_current.version},
+                                              {"heard_of", m_newest_peer_version},
+                                              {"watched_at", m_watch.revision()}});
     m_watch.refresh();
 }
 
-void configuration_task::take_wave(const platform::store_item& item) {
+void configuration_task::apply_wave(const platform::store_item& item) {
     if (item.deleted) {
         return;
     }
@@ -66,9 +66,9 @@
     m_on_change();
 }
 
-void configuration_task::take(const platform::store_item& item) {
+void configuration_task::apply_item(const platform::store_item& item) {
     if (item.key.starts_with(platform::wave_prefix)) {
-        take_wave(item);
+        apply_wave(item);
         return;
     }
     if (item.key != platform::configuration_key || item.deleted) {
--- a/node/configuration_task.hpp
+++ b/node/configuration_task.hpp
@@ -18,24 +18,24 @@
     void refresh() { m_watch.refresh(); }
     /// A peer has this version in force; reads anew if it is newer than ours and our own watch does not bring
     /// it within a while.
-    void heard_of(std::int64_t version);
+    void record_peer_version(std::int64_t version);
 
     [[nodiscard]] const jobs::fleet_configuration& current() const noexcept { return m_current; }
-    [[nodiscard]] bool known() const noexcept { return m_current.version > 0; }
+    [[nodiscard]] bool is_loaded() const noexcept { return m_current.version > 0; }
     [[nodiscard]] const std::map<std::int64_t, platform::maintenance_wave>& waves() const noexcept {
         return m_waves;
     }
 
   private:
-    void take(const platform::store_item& item);
-    void take_wave(const platform::store_item& item);
-    void read_if_behind();
+    void apply_item(const platform::store_item& item);
+    void apply_wave(const platform::store_item& item);
+    void refresh_if_behind();
 
     std::function<void()> m_on_change;
-    milliseconds m_heard_patience;
-    std::unique_ptr<timer> m_behind_timer;
-    std::int64_t m_heard_version = 0; ///< Newest that a peer has named.
-    bool m_behind = false;            ///< A peer has named a newer version; the timer runs.
+    milliseconds m_catch_up_delay;
+    std::unique_ptr<timer> m_catch_up_timer;
+    std::int64_t m_newest_peer_version = 0; ///< Newest that a peer has named.
+    bool m_catch_up_pending = false;        ///< A peer has named a newer version; the timer runs.
     jobs::fleet_configuration m_current;
     std::map<std::int64_t, platform::maintenance_wave> m_waves;
     watch_task m_watch;
--- a/node/fleet_orders.cpp
+++ b/node/fleet_orders.cpp
@@ -39,7 +39,7 @@
         return;
     }
     const timestamp asked_at = event_loop::now();
-    m_parts.store.grant_lease(m_parts.settings.order_quiet + announcement_use + announcement_margin,
+    m_parts.store.grant_lease(m_parts.settings.min_order_interval + announcement_use + announcement_margin,
                               [this, machines, asked_at, done = std::move(done),
                                alive = m_lifetime.weak_token()](const platform::lease_answer& answer) {
                                   if (alive.expired()) {
--- a/node/fleet_task.cpp
+++ b/node/fleet_task.cpp
@@ -29,7 +29,7 @@
 fleet_task::fleet_task(context parts, const ownership& held)
     : m_parts(std::move(parts)), m_held(held), m_timer(m_parts.loop.make_timer([this] { round(); })),
       m_answers_bound(m_parts.loop.make_timer([this] { list_machines(); })),
-      m_recent_known(held.epoch == 0 || held.own_before) {}
+      m_recent_known(held.epoch == 0 || held.was_previous_owner) {}
 
 void fleet_task::start() {
     round();
@@ -38,7 +38,7 @@
 bool fleet_task::may_order() const {
     // Machines check no fencing tokens, so only a claim that certainly stands will do.
     const timestamp now = event_loop::now();
-    return !m_stopped && m_recent_known && now < m_parts.membership.certain_until(m_held.duty);
+    return !m_stopped && m_recent_known && now < m_parts.membership.confirmed_until(m_held.duty);
 }
 
 std::string fleet_task::spare_pool() const {
@@ -90,13 +90,13 @@
     m_answers_bound->start(answers_bound);
     for (const std::string& pool : pools) {
         peer_request request;
-        request.kind = static_cast<std::uint8_t>(peer_request_kind::fleet_look);
+        request.kind = static_cast<std::uint8_t>(peer_request_kind::demand_query);
         request.pool = pool;
-        request.configuration = m_parts.configuration.current().version;
-        request.arriving = arriving(pool);
-        request.obtainable = m_unwanted_machines;
+        request.configuration_version = m_parts.configuration.current().version;
+        request.arriving_vms = arriving(pool);
+        request.obtainable_machines = m_unwanted_machines;
         const std::set<std::string> kept_empty = m_clear.vms_of_pool(pool);
-        request.vms.assign(kept_empty.begin(), kept_empty.end());
+        request.vms_to_empty.assign(kept_empty.begin(), kept_empty.end());
         m_parts.ask_pool(request, [this, pool, kept_empty, round = m_round,
                                    alive = m_lifetime.weak_token()](const peer_answer& answer) {
             if (!alive.expired()) {
--- a/node/fleet_upkeep.cpp
+++ b/node/fleet_upkeep.cpp
@@ -50,7 +50,7 @@
             tell(number, false);
         }
         const jobs::wave_step step =
-            jobs::plan_wave(item.state, view, m_parts.settings.upkeep_time, event_loop::now());
+            jobs::plan_wave(item.state, view, m_parts.settings.maintenance_time, event_loop::now());
         for (const std::string& machine : step.to_evacuate) {
             const platform::machine_info& info = m_machines[machine];
             m_clear.add(info.pool, info.incarnation);
--- a/node/sure_reply.hpp
+++ b/node/guaranteed_reply.hpp
@@ -14,24 +14,24 @@
 /// A pool's owner keeps replies until what they tell is stored. When another node owns the pool meanwhile,
 /// its state is dropped, and the replies with it; the clients were told 500, which says neither that their
 /// job is kept nor that it will not run. Dropped unused, this replies that the outcome is unknown.
-class sure_reply {
+class guaranteed_reply {
   public:
     using callback = std::function<void(const peer_answer&)>;
 
     /// `alive`: expires when `done` may no longer be called.
     [[nodiscard]] static callback make(callback done, std::weak_ptr<void> alive) {
-        const auto shared = std::make_shared<sure_reply>(std::move(done), std::move(alive));
-        return [shared](const peer_answer& answer) { shared->give(answer); };
+        const auto shared = std::make_shared<guaranteed_reply>(std::move(done), std::move(alive));
+        return [shared](const peer_answer& answer) { shared->send(answer); };
     }
 
-    sure_reply(callback done, std::weak_ptr<void> alive)
+    guaranteed_reply(callback done, std::weak_ptr<void> alive)
         : m_done(std::move(done)), m_alive(std::move(alive)) {}
-    sure_reply(const sure_reply&) = delete;
-    sure_reply& operator=(const sure_reply&) = delete;
-    ~sure_reply() { give(answer_of(peer_outcome::unknown)); }
+    guaranteed_reply(const guaranteed_reply&) = delete;
+    guaranteed_reply& operator=(const guaranteed_reply&) = delete;
+    ~guaranteed_reply() { send(make_answer(peer_outcome::unknown)); }
 
   private:
-    void give(const peer_answer& answer) {
+    void send(const peer_answer& answer) {
         const callback done = std::exchange(m_done, {});
         if (done && !m_alive.expired()) {
             done(answer);
--- a/node/ingress_task.cpp
+++ b/node/ingress_task.cpp
@@ -15,41 +15,41 @@
 /// through the store must still fit into the client's deadline of about three seconds.
 constexpr milliseconds owner_timeout = 900ms;
 /// While nobody can take the job: an owner is replaced in about three seconds.
-constexpr milliseconds retry_after_gap = 1s;
-constexpr milliseconds retry_after_start = 1s;
+constexpr milliseconds retry_after_takeover = 1s;
+constexpr milliseconds retry_after_unavailable = 1s;
 /// An owner that did not answer is not asked again for this long; the store is, at once.
-constexpr milliseconds silent_owner_pause = 1s;
+constexpr milliseconds unresponsive_owner_pause = 1s;
 /// A pool that was overloaded counts as such for this long, as long as a dead owner takes to be replaced.
-constexpr milliseconds overload_memory = 2s;
+constexpr milliseconds overload_ttl = 2s;
 /// Above the largest body that a configuration allows so far; the configured bound is checked per call.
-constexpr std::size_t largest_body = 1U << 20U;
+constexpr std::size_t max_request_body = 1U << 20U;
 
-peer_request message_for(peer_request_kind kind, const platform::client_call& call,
-                         std::int64_t configuration) {
+peer_request make_peer_request(peer_request_kind kind, const platform::client_call& call,
+                               std::int64_t configuration) {
     peer_request message;
     message.kind = static_cast<std::uint8_t>(kind);
     message.pool = call.pool;
     message.job = call.job;
     message.queue = call.queue;
-    message.configuration = configuration;
+    message.configuration_version = configuration;
     return message;
 }
 
 } // namespace
 
-ingress_task::ingress_task(context parts, local_handler local)
-    : m_parts(parts), m_local(std::move(local)),
-      m_server(parts.loop, {.max_body = largest_body},
-               [this](const request_handle& request) { take(request); }) {}
+ingress_task::ingress_task(context dependencies, local_handler local)
+    : m_context(dependencies), m_local_handler(std::move(local)),
+      m_server(dependencies.loop, {.max_body = max_request_body},
+               [this](const request_handle& request) { handle_request(request); }) {}
 
-void ingress_task::take(const request_handle& request) {
+void ingress_task::handle_request(const request_handle& request) {
     const timestamp now = event_loop::now();
-    if (!m_parts.configuration.known()) {
-        m_parts.counters.increment("clients_without_configuration");
-        platform::answer_unavailable(*request, retry_after_start);
+    if (!m_context.configuration.is_loaded()) {
+        m_context.counters.increment("clients_without_configuration");
+        platform::answer_unavailable(*request, retry_after_unavailable);
         return;
     }
-    const jobs::fleet_configuration& configuration = m_parts.configuration.current();
+    const jobs::fleet_configuration& configuration = m_context.configuration.current();
     client_context client{request, platform::decode_client_call(*request, configuration), {}, now};
     if (client.call.queue.empty()) {
         log_event(
@@ -58,7 +58,7 @@
         platform::answer_no_queue(*request);
         return;
     }
-    peer_request message = message_for(peer_request_kind::submit, client.call, configuration.version);
+    peer_request message = make_peer_request(peer_request_kind::submit, client.call, configuration.version);
     switch (client.call.request) {
     case platform::client_request::submit: {
         findings problems;
@@ -75,25 +75,25 @@
             return;
         }
         message.spec = client.spec;
-        ask_owner(client, message, &ingress_task::submit_answered);
+        send_to_owner(client, message, &ingress_task::submit_answered);
         return;
     }
     case platform::client_request::status:
         message.kind = static_cast<std::uint8_t>(peer_request_kind::status);
-        ask_owner(client, message, &ingress_task::status_answered);
+        send_to_owner(client, message, &ingress_task::status_answered);
         return;
     case platform::client_request::cancel:
         message.kind = static_cast<std::uint8_t>(peer_request_kind::cancel);
-        ask_owner(client, message, &ingress_task::cancel_answered);
+        send_to_owner(client, message, &ingress_task::cancel_answered);
         return;
     case platform::client_request::count: {
         message.kind = static_cast<std::uint8_t>(peer_request_kind::count);
         const auto known = m_counts.find(client.call.queue);
-        if (known != m_counts.end() && now - known->second.at <= jobs::max_count_age) {
-            tell_count(client, known->second, "copy");
+        if (known != m_counts.end() && now - known->second.counted_at <= jobs::max_count_age) {
+            send_count(client, known->second, "copy");
             return;
         }
-        ask_owner(client, message, &ingress_task::count_answered);
+        send_to_owner(client, message, &ingress_task::count_answered);
         return;
     }
     case platform::client_request::invalid:
@@ -102,57 +102,57 @@
     }
 }
 
-void ingress_task::ask_owner(const client_context& client, const peer_request& message, handler next) {
-    const auto take_answer = [this, client, next,
-                              alive = m_lifetime.weak_token()](const peer_answer& answer) {
+void ingress_task::send_to_owner(const client_context& client, const peer_request& message, handler next) {
+    const auto handle_answer = [this, client, next,
+                                alive = m_lifetime.weak_token()](const peer_answer& answer) {
         if (alive.expired()) {
             return;
         }
-        m_parts.configuration.heard_of(answer.configuration);
+        m_context.configuration.record_peer_version(answer.configuration_version);
         (this->*next)(client, answer);
     };
-    if (m_local(message, take_answer)) {
+    if (m_local_handler(message, handle_answer)) {
         return;
     }
-    const auto owner = m_parts.membership.owner_of(pool_duty(client.call.pool));
-    if (!owner || owner->incarnation == m_parts.membership.self().incarnation) {
-        take_answer(answer_of(peer_outcome::not_owner));
+    const auto owner = m_context.membership.owner_of(pool_duty(client.call.pool));
+    if (!owner || owner->incarnation == m_context.membership.self().incarnation) {
+        handle_answer(make_answer(peer_outcome::not_owner));
         return;
     }
-    const auto silent = m_silent_owners.find(owner->incarnation);
-    if (silent != m_silent_owners.end() && event_loop::now() < silent->second) {
-        take_answer(answer_of(peer_outcome::not_owner));
+    const auto unresponsive = m_unresponsive_owners.find(owner->incarnation);
+    if (unresponsive != m_unresponsive_owners.end() && event_loop::now() < unresponsive->second) {
+        handle_answer(make_answer(peer_outcome::not_owner));
         return;
     }
     const milliseconds timeout = std::min(owner_timeout, client.call.deadline / 2);
-    m_parts.peers.call({owner->address, owner->port}, message, timeout,
-                       [this, take_answer, owner = owner->incarnation,
-                        alive = m_lifetime.weak_token()](const peer_answer& answer) {
-                           if (!alive.expired()) {
-                               note_owner(owner, answer);
-                               take_answer(answer);
-                           }
-                       });
+    m_context.peers.call({owner->address, owner->port}, message, timeout,
+                         [this, handle_answer, owner = owner->incarnation,
+                          alive = m_lifetime.weak_token()](const peer_answer& answer) {
+                             if (!alive.expired()) {
+                                 record_owner_response(owner, answer);
+                                 handle_answer(answer);
+                             }
+                         });
 }
 
 /// Remembers whether an owner on another node answers: a frozen or cut off one would hold each client for the
 /// whole timeout, one after the other.
-void ingress_task::note_owner(const std::string& owner, const peer_answer& answer) {
+void ingress_task::record_owner_response(const std::string& owner, const peer_answer& answer) {
     const timestamp now = event_loop::now();
     const peer_outcome outcome = outcome_of(answer);
     if (outcome == peer_outcome::unknown || outcome == peer_outcome::unreachable) {
-        m_silent_owners[owner] = now + silent_owner_pause;
+        m_unresponsive_owners[owner] = now + unresponsive_owner_pause;
         return;
     }
-    m_silent_owners.erase(owner);
-    m_reached_store_at = std::max(m_reached_store_at, now - milliseconds(answer.store_age_ms));
+    m_unresponsive_owners.erase(owner);
+    m_peer_reached_store_at = std::max(m_peer_reached_store_at, now - milliseconds(answer.store_age_ms));
 }
 
 void ingress_task::observe(const client_context& client, std::string_view outcome) {
     const std::string kind(name_of(client.call.request));
-    m_parts.counters.increment("clients_" + kind + "_" + std::string(outcome));
-    m_parts.counters.observe("client_" + kind,
-                             static_cast<double>((event_loop::now() - client.received_at).count()));
+    m_context.counters.increment("clients_" + kind + "_" + std::string(outcome));
+    m_context.counters.observe("client_" + kind,
+                               static_cast<double>((event_loop::now() - client.received_at).count()));
 }
 
 void ingress_task::refuse(const client_context& client, std::string_view why, milliseconds retry_after) {
@@ -164,7 +164,7 @@
     platform::answer_unavailable(*client.request, retry_after);
 }
 
-void ingress_task::give_up(const client_context& client, std::string_view why) {
+void ingress_task::report_unknown_outcome(const client_context& client, std::string_view why) {
     observe(client, "unknown");
     log_event(event_id::client_unknown, {{"job", client.call.job},
                                          {"call", name_of(client.call.request)},
@@ -187,7 +187,7 @@
         refuse_for_load(client, answer);
         return;
     default:
-        submit_by_store(client, outcome_of(answer) == peer_outcome::unknown);
+        submit_through_store(client, outcome_of(answer) == peer_outcome::unknown);
         return;
     }
 }
@@ -197,7 +197,8 @@
 /// that nobody has room for.
 const ingress_task::overload* ingress_task::recent_overload(const std::string& pool) const {
     const auto found = m_overloads.find(pool);
-    const bool recent = found != m_overloads.end() && event_loop::now() - found->second.at <= overload_memory;
+    const bool recent =
+        found != m_overloads.end() && event_loop::now() - found->second.refused_at <= overload_ttl;
     return recent ? &found->second : nullptr;
 }
 
@@ -210,7 +211,7 @@
 /// a job that lies there, and that it will run: then the store is asked first.
 void ingress_task::refuse_for_load(const client_context& client, const peer_answer& answer) {
     const milliseconds retry_after(answer.retry_after_ms);
-    if (milliseconds(answer.age_ms) <= jobs::max_count_age) {
+    if (milliseconds(answer.inbox_age_ms) <= jobs::max_count_age) {
         refuse_overloaded(client, retry_after);
         return;
     }
@@ -219,13 +220,13 @@
 
 /// An earlier try of the same job may have been accepted although its client heard nothing.
 void ingress_task::refuse_unless_stored(const client_context& client, milliseconds retry_after) {
-    look_up_job(m_parts.store, client.call.pool, client.call.job,
+    look_up_job(m_context.store, client.call.pool, client.call.job,
                 [this, client, retry_after, alive = m_lifetime.weak_token()](const lookup_answer& found) {
                     if (alive.expired()) {
                         return;
                     }
-                    if (!found.answered) {
-                        give_up(client, "store");
+                    if (!found.store_reached) {
+                        report_unknown_outcome(client, "store");
                     } else if (found.phase) {
                         observe(client, "ok");
                         platform::answer_accepted(*client.request);
@@ -237,9 +238,10 @@
 
 /// Leaves the job where the pool's next owner finds it. `may_be_stored`: the owner may have accepted it, so a
 /// refusal would not be true any more.
-void ingress_task::submit_by_store(const client_context& client, bool may_be_stored) {
-    if (store_is_failing(m_parts.store, event_loop::now())) {
-        may_be_stored ? give_up(client, "store") : refuse(client, "store", retry_after_gap);
+void ingress_task::submit_through_store(const client_context& client, bool may_be_stored) {
+    if (store_is_failing(m_context.store, event_loop::now())) {
+        may_be_stored ? report_unknown_outcome(client, "store")
+                      : refuse(client, "store", retry_after_takeover);
         return;
     }
     const overload* recent = recent_overload(client.call.pool);
@@ -254,11 +256,11 @@
     change.conditions.push_back({job_prefix(client.call.pool) + id, 0});
     change.conditions.push_back({progress_prefix(client.call.pool) + id, 0});
     change.writes.push_back({submit_key(client.call.pool, id), encode_archive(record), 0});
-    const std::uint64_t number = m_next_write++;
-    m_inbox_writes.emplace(number, inbox_write{client, event_loop::now()});
-    m_parts.store.commit(change, [this, client, may_be_stored, number,
-                                  alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
-        if (alive.expired() || m_inbox_writes.erase(number) == 0) {
+    const std::uint64_t write_id = m_next_write_id++;
+    m_inbox_writes.emplace(write_id, inbox_write{client, event_loop::now()});
+    m_context.store.commit(change, [this, client, may_be_stored, write_id,
+                                    alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
+        if (alive.expired() || m_inbox_writes.erase(write_id) == 0) {
             return; // Told already that the outcome is unknown.
         }
         if (answer.status == platform::store_status::ok ||
@@ -266,23 +268,23 @@
             observe(client, "ok_by_store");
             platform::answer_accepted(*client.request);
         } else if (answer.status == platform::store_status::refused && !may_be_stored) {
-            refuse(client, "store", retry_after_gap);
+            refuse(client, "store", retry_after_takeover);
         } else {
-            give_up(client, "store");
+            report_unknown_outcome(client, "store");
         }
     });
 }
 
-void ingress_task::answer_for_silence() {
+void ingress_task::answer_stalled_submits() {
     const timestamp now = event_loop::now();
-    if (!store_is_silent(m_parts.store, now)) {
+    if (!store_is_unresponsive(m_context.store, now)) {
         return;
     }
     std::erase_if(m_inbox_writes, [&](const auto& item) {
-        if (now - item.second.sent_at < store_silent_after) {
+        if (now - item.second.sent_at < store_unresponsive_after) {
             return false;
         }
-        give_up(item.second.client, "store");
+        report_unknown_outcome(item.second.client, "store");
         return true;
     });
 }
@@ -291,25 +293,25 @@
 
 void ingress_task::status_answered(const client_context& client, const peer_answer& answer) {
     if (outcome_of(answer) != peer_outcome::ok) {
-        status_by_store(client);
+        read_status_from_store(client);
         return;
     }
     observe(client, "ok");
     platform::answer_phase(*client.request, static_cast<jobs::job_phase>(answer.phase));
 }
 
-void ingress_task::status_by_store(const client_context& client) {
-    if (store_is_failing(m_parts.store, event_loop::now())) {
-        refuse(client, "store", retry_after_gap);
+void ingress_task::read_status_from_store(const client_context& client) {
+    if (store_is_failing(m_context.store, event_loop::now())) {
+        refuse(client, "store", retry_after_takeover);
         return;
     }
-    look_up_job(m_parts.store, client.call.pool, client.call.job,
+    look_up_job(m_context.store, client.call.pool, client.call.job,
                 [this, client, alive = m_lifetime.weak_token()](const lookup_answer& answer) {
                     if (alive.expired()) {
                         return;
                     }
-                    if (!answer.answered) {
-                        refuse(client, "store", retry_after_start);
+                    if (!answer.store_reached) {
+                        refuse(client, "store", retry_after_unavailable);
                     } else if (answer.phase) {
                         observe(client, "ok_by_store");
                         platform::answer_phase(*client.request, *answer.phase);
@@ -328,26 +330,26 @@
         platform::answer_accepted(*client.request);
         return;
     }
-    look_up_job(m_parts.store, client.call.pool, client.call.job,
+    look_up_job(m_context.store, client.call.pool, client.call.job,
                 [this, client, alive = m_lifetime.weak_token()](const lookup_answer& found) {
                     if (alive.expired()) {
                         return;
                     }
-                    if (!found.answered) {
-                        refuse(client, "store", retry_after_start);
+                    if (!found.store_reached) {
+                        refuse(client, "store", retry_after_unavailable);
                     } else if (!found.phase) {
                         observe(client, "no_job");
                         platform::answer_no_job(*client.request);
                     } else {
-                        cancel_by_store(client);
+                        cancel_through_store(client);
                     }
                 });
 }
 
-void ingress_task::cancel_by_store(const client_context& client) {
+void ingress_task::cancel_through_store(const client_context& client) {
     platform::store_transaction change;
     change.writes.push_back({cancel_key(client.call.pool, client.call.job), "1", 0});
-    m_parts.store.commit(
+    m_context.store.commit(
         change, [this, client, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
             if (alive.expired()) {
                 return;
@@ -356,7 +358,7 @@
                 observe(client, "ok_by_store");
                 platform::answer_accepted(*client.request);
             } else {
-                give_up(client, "store");
+                report_unknown_outcome(client, "store");
             }
         });
 }
@@ -365,26 +367,26 @@
 
 void ingress_task::count_answered(const client_context& client, const peer_answer& answer) {
     // Counted from when the client asked: how long the answer was on its way, and lay unread, is not known.
-    const timestamp at = client.received_at - milliseconds(answer.age_ms);
+    const timestamp at = client.received_at - milliseconds(answer.inbox_age_ms);
     if (outcome_of(answer) != peer_outcome::ok) {
-        refuse(client, name_of(outcome_of(answer)), retry_after_start);
+        refuse(client, name_of(outcome_of(answer)), retry_after_unavailable);
         return;
     }
     if (event_loop::now() - at > jobs::max_count_age) {
-        refuse(client, "old-count", retry_after_start);
+        refuse(client, "old-count", retry_after_unavailable);
         return;
     }
     observe(client, "ok");
     const cached_count& count = m_counts[client.call.queue] = {answer.count, at};
-    tell_count(client, count, "owner");
+    send_count(client, count, "owner");
 }
 
-void ingress_task::tell_count(const client_context& client, const cached_count& count,
+void ingress_task::send_count(const client_context& client, const cached_count& count,
                               std::string_view from) {
     log_event(event_id::count_answered, {{"queue", client.call.queue},
                                          {"waiting", count.jobs},
                                          {"from", from},
-                                         {"age_ms", (event_loop::now() - count.at).count()}});
+                                         {"age_ms", (event_loop::now() - count.counted_at).count()}});
     platform::answer_pending_count(*client.request, count.jobs);
 }
 
--- a/node/ingress_task.hpp
+++ b/node/ingress_task.hpp
@@ -28,24 +28,24 @@
     /// Hands a request to this node's own pool task; returns false if there is none.
     using local_handler = std::function<bool(const peer_request&, peer_server::reply)>;
 
-    ingress_task(context parts, local_handler local);
+    ingress_task(context dependencies, local_handler local);
 
     [[nodiscard]] bool listen(const endpoint& where) { return m_server.listen(where); }
     /// Whether clients are asked to go elsewhere with their next request; goes on serving. Answers entries
     /// that can't reach the store: the platform sends them no new connections, but a client that keeps its
     /// connection open would be refused there for as long as the partition lasts.
-    void shed(bool on) { m_server.set_connection_shedding(on); }
+    void set_connection_shedding(bool on) { m_server.set_connection_shedding(on); }
     /// Takes no new connections.
-    void close() { m_server.drain(); }
+    void stop_accepting() { m_server.drain(); }
     /// Answers the clients whose jobs were sent to a store that has fallen silent: the outcome is unknown,
     /// and they may ask again. Called several times a second. Guards against clients that are held until the
     /// store's time-out, or their own deadline, and have no time left for the try that would be accepted.
-    void answer_for_silence();
-    [[nodiscard]] bool idle() const noexcept { return m_server.requests_in_progress() == 0; }
+    void answer_stalled_submits();
+    [[nodiscard]] bool is_idle() const noexcept { return m_server.requests_in_progress() == 0; }
     /// When the store was last reached by an owner on another node that answers this one. An owner's answer
     /// alone proves nothing: cut off together with this node it still answers, and can accept nothing. With
     /// readiness judged by that answer alone clients of a zone that is cut off would go on coming here.
-    [[nodiscard]] timestamp reached_store_at() const noexcept { return m_reached_store_at; }
+    [[nodiscard]] timestamp peer_reached_store_at() const noexcept { return m_peer_reached_store_at; }
 
   private:
     using request_handle = std::shared_ptr<server_request>;
@@ -57,11 +57,11 @@
     };
     struct cached_count {
         std::uint64_t jobs = 0;
-        timestamp at{0};
+        timestamp counted_at{0};
     };
     /// The latest refusal of a pool's owner for load.
     struct overload {
-        timestamp at{0};
+        timestamp refused_at{0};
         milliseconds retry_after{0};
     };
     struct inbox_write {
@@ -70,34 +70,34 @@
     };
     using handler = void (ingress_task::*)(const client_context&, const peer_answer&);
 
-    void take(const request_handle& request);
-    void ask_owner(const client_context& client, const peer_request& message, handler next);
-    void note_owner(const std::string& owner, const peer_answer& answer);
+    void handle_request(const request_handle& request);
+    void send_to_owner(const client_context& client, const peer_request& message, handler next);
+    void record_owner_response(const std::string& owner, const peer_answer& answer);
     void submit_answered(const client_context& client, const peer_answer& answer);
     void status_answered(const client_context& client, const peer_answer& answer);
     void cancel_answered(const client_context& client, const peer_answer& answer);
     void count_answered(const client_context& client, const peer_answer& answer);
-    void tell_count(const client_context& client, const cached_count& count, std::string_view from);
+    void send_count(const client_context& client, const cached_count& count, std::string_view from);
     void refuse_for_load(const client_context& client, const peer_answer& answer);
     void refuse_unless_stored(const client_context& client, milliseconds retry_after);
     void refuse_overloaded(const client_context& client, milliseconds retry_after);
     [[nodiscard]] const overload* recent_overload(const std::string& pool) const;
-    void submit_by_store(const client_context& client, bool may_be_stored);
-    void status_by_store(const client_context& client);
-    void cancel_by_store(const client_context& client);
+    void submit_through_store(const client_context& client, bool may_be_stored);
+    void read_status_from_store(const client_context& client);
+    void cancel_through_store(const client_context& client);
     void refuse(const client_context& client, std::string_view why, milliseconds retry_after);
-    void give_up(const client_context& client, std::string_view why);
+    void report_unknown_outcome(const client_context& client, std::string_view why);
     void observe(const client_context& client, std::string_view outcome);
 
-    context m_parts;
-    local_handler m_local;
+    context m_context;
+    local_handler m_local_handler;
     http_server m_server;
-    timestamp m_reached_store_at{0};
-    std::map<std::string, timestamp> m_silent_owners;    ///< Incarnation -> until when it is not asked.
-    std::map<std::string, cached_count> m_counts;        ///< By queue.
-    std::map<std::string, overload> m_overloads;         ///< By pool.
-    std::map<std::uint64_t, inbox_write> m_inbox_writes; ///< Whose clients have no answer yet.
-    std::uint64_t m_next_write = 1;
+    timestamp m_peer_reached_store_at{0};
+    std::map<std::string, timestamp> m_unresponsive_owners; ///< Incarnation -> until when it is not asked.
+    std::map<std::string, cached_count> m_counts;           ///< By queue.
+    std::map<std::string, overload> m_overloads;            ///< By pool.
+    std::map<std::uint64_t, inbox_write> m_inbox_writes;    ///< Whose clients have no answer yet.
+    std::uint64_t m_next_write_id = 1;
     lifetime m_lifetime;
 };
 
--- a/node/job_lookup.cpp
+++ b/node/job_lookup.cpp
@@ -23,11 +23,11 @@
     });
 }
 
-std::optional<jobs::job_phase> queued(const platform::store_item&) {
+std::optional<jobs::job_phase> queued_phase(const platform::store_item&) {
     return jobs::job_phase::queued;
 }
 
-std::optional<jobs::job_phase> phase_in_progress(const platform::store_item& item) {
+std::optional<jobs::job_phase> phase_from_progress(const platform::store_item& item) {
     const auto progress = decode_archive<jobs::job_progress>(item.value);
     return progress ? progress.value().phase : jobs::job_phase::queued;
 }
@@ -36,13 +36,15 @@
 
 void look_up_job(platform::store_client& store, const std::string& pool, const std::string& job,
                  const std::function<void(lookup_answer)>& done) {
-    const auto third = [&store, pool, job, done] {
-        read_phase(store, progress_prefix(pool) + job, phase_in_progress, done, [done] { done({true, {}}); });
+    const auto read_progress = [&store, pool, job, done] {
+        read_phase(store, progress_prefix(pool) + job, phase_from_progress, done, [done] {
+            done({true, {}});
+        });
     };
-    const auto second = [&store, pool, job, done, third] {
-        read_phase(store, job_prefix(pool) + job, queued, done, third);
+    const auto read_record = [&store, pool, job, done, read_progress] {
+        read_phase(store, job_prefix(pool) + job, queued_phase, done, read_progress);
     };
-    read_phase(store, submit_key(pool, job), queued, done, second);
+    read_phase(store, submit_key(pool, job), queued_phase, done, read_record);
 }
 
 } // namespace siskinpaddle::node
--- a/node/job_lookup.hpp
+++ b/node/job_lookup.hpp
@@ -10,7 +10,7 @@
 
 /// What the store says of a job.
 struct lookup_answer {
-    bool answered = false;                ///< The store was reached.
+    bool store_reached = false;           ///< The store was reached.
     std::optional<jobs::job_phase> phase; ///< Nothing: there is no such job.
 };
 
--- a/node/membership_task.cpp
+++ b/node/membership_task.cpp
@@ -21,22 +21,22 @@
 /// that the end of an outage is seen soon.
 constexpr milliseconds renew_timeout = 700ms;
 /// Our clock and the store's run apart, and the answer may be late.
-constexpr milliseconds certainty_margin = 200ms;
+constexpr milliseconds lease_safety_margin = 200ms;
 /// After a claim that the store refused. Short against the lease that a vacant duty has waited for.
 constexpr milliseconds refused_claim_pause = 400ms;
 /// Between two looks at vacant duties.
 constexpr milliseconds claim_interval = 100ms;
 /// After the first start nodes appear within this of each other; whoever claims earlier takes everything.
 /// Duties that had an owner before are claimed without it.
-constexpr milliseconds settle_time = 900ms;
+constexpr milliseconds startup_claim_delay = 900ms;
 /// Between a node's turns to claim, so that the first choice wins without a race.
-constexpr milliseconds turn = 100ms;
+constexpr milliseconds claim_order_delay = 100ms;
 /// The last owner of a duty, if it lives, takes it up again without a takeover.
-constexpr milliseconds last_owner_advantage = 500ms;
+constexpr milliseconds previous_owner_head_start = 500ms;
 
 constexpr milliseconds watch_wait = 5s;
 
-std::string draw_incarnation() {
+std::string generate_incarnation() {
     std::random_device source;
     return to_hex((static_cast<std::uint64_t>(source()) << 32U) ^ source());
 }
@@ -47,34 +47,34 @@
                                  platform::store_client& store, handlers on_change)
     : m_loop(loop), m_settings(settings), m_store(store),
       m_handlers(std::move(on_change)), m_self{settings.id,
-                                               draw_incarnation(),
+                                               generate_incarnation(),
                                                settings.peers.address,
                                                settings.peers.port,
                                                settings.availability_zone,
                                                settings.processor_share},
       m_watch(loop, store, control_prefix, watch_wait,
-              [this](const platform::store_item& item) { take_change(item); }),
-      m_renew_timer(loop.make_timer([this] { m_lease == 0 ? grant() : renew(); })),
-      m_claim_timer(loop.make_timer([this] { consider_claims(); })) {}
+              [this](const platform::store_item& item) { apply_change(item); }),
+      m_renew_timer(loop.make_timer([this] { m_lease == 0 ? request_lease() : renew_lease(); })),
+      m_claim_timer(loop.make_timer([this] { claim_vacant_duties(); })) {}
 
 void membership_task::start() {
     m_started_at = event_loop::now();
-    grant();
+    request_lease();
     m_watch.start([this] { m_listed = true; });
     m_claim_timer->start(claim_interval);
 }
 
-timestamp membership_task::certain_until(const std::string& duty) const {
+timestamp membership_task::confirmed_until(const std::string& duty) const {
     const auto found = m_owned.find(duty);
-    return found == m_owned.end() ? timestamp(0) : found->second.certain_until;
+    return found == m_owned.end() ? timestamp(0) : found->second.confirmed_until;
 }
 
 timestamp membership_task::act_until(const std::string& duty) const {
     const auto found = m_owned.find(duty);
-    return found == m_owned.end() ? timestamp(0) : found->second.certain_until + grace_after_lease;
+    return found == m_owned.end() ? timestamp(0) : found->second.confirmed_until + grace_after_lease;
 }
 
-void membership_task::grant() {
+void membership_task::request_lease() {
     if (m_leaving) {
         return;
     }
@@ -82,23 +82,23 @@
     m_store.grant_lease(
         lease_ttl, [this, asked_at, alive = m_lifetime.weak_token()](const platform::lease_answer& answer) {
             if (!alive.expired()) {
-                granted(answer, asked_at);
+                handle_grant_answer(answer, asked_at);
             }
         });
 }
 
-void membership_task::granted(const platform::lease_answer& answer, timestamp asked_at) {
+void membership_task::handle_grant_answer(const platform::lease_answer& answer, timestamp asked_at) {
     if (answer.status != platform::store_status::ok || m_leaving) {
         m_renew_timer->start(retry_interval);
         return;
     }
     if (std::exchange(m_renewal_failed, false)) {
         m_watch.refresh();
-        m_handlers.store_back();
+        m_handlers.store_recovered();
     }
     m_lease = answer.lease;
     m_renewed_at = asked_at;
-    m_lease_certain_until = asked_at + answer.ttl - certainty_margin;
+    m_lease_confirmed_until = asked_at + answer.ttl - lease_safety_margin;
     register_self();
 }
 
@@ -122,7 +122,7 @@
     });
 }
 
-void membership_task::renew() {
+void membership_task::renew_lease() {
     if (m_leaving) {
         return;
     }
@@ -131,38 +131,38 @@
         m_lease, renew_timeout,
         [this, asked_at, alive = m_lifetime.weak_token()](const platform::lease_answer& answer) {
             if (!alive.expired()) {
-                renewed(answer, asked_at);
+                handle_renew_answer(answer, asked_at);
             }
         });
 }
 
-void membership_task::renewed(const platform::lease_answer& answer, timestamp asked_at) {
+void membership_task::handle_renew_answer(const platform::lease_answer& answer, timestamp asked_at) {
     if (m_leaving) {
         return;
     }
     const bool good = answer.status == platform::store_status::ok;
-    const bool back = good && m_renewal_failed;
+    const bool store_recovered = good && m_renewal_failed;
     m_renewal_failed = !good;
     if (good) {
         m_renewed_at = asked_at;
-        m_lease_certain_until = asked_at + answer.ttl - certainty_margin;
+        m_lease_confirmed_until = asked_at + answer.ttl - lease_safety_margin;
         for (auto& [duty, held] : m_owned) {
             // Claims under an earlier lease prove nothing any more: others may have claimed in between.
             if (held.lease == m_lease) {
-                held.certain_until = m_lease_certain_until;
+                held.confirmed_until = m_lease_confirmed_until;
             }
         }
         m_renew_timer->start(renew_interval);
-        if (back) {
+        if (store_recovered) {
             m_watch.refresh();
-            m_handlers.store_back();
+            m_handlers.store_recovered();
         }
         return;
     }
     if (answer.status == platform::store_status::no_lease) {
         log_event(event_id::node_lease_lost, {{"node", m_self.id}});
         m_lease = 0;
-        grant();
+        request_lease();
         return;
     }
     m_renew_timer->start(retry_interval);
@@ -177,7 +177,7 @@
     return found == m_owners.end() ? std::nullopt : std::optional(found->second.owner);
 }
 
-void membership_task::take_change(const platform::store_item& item) {
+void membership_task::apply_change(const platform::store_item& item) {
     if (item.key.starts_with(node_prefix)) {
         const std::string id = item.key.substr(node_prefix.size());
         const auto record = decode_archive<node_record>(item.value);
@@ -187,51 +187,53 @@
             m_nodes[id] = record.value();
         }
     } else if (item.key.starts_with(owner_prefix)) {
-        take_owner(item.key.substr(owner_prefix.size()), item);
+        apply_owner(item.key.substr(owner_prefix.size()), item);
     } else if (item.key.starts_with(alive_prefix)) {
         const std::string duty = item.key.substr(alive_prefix.size());
         if (item.deleted) {
-            m_alive.erase(duty);
+            m_live_keys.erase(duty);
         } else {
-            m_alive[duty] = item;
+            m_live_keys[duty] = item;
         }
     }
 }
 
-void membership_task::take_owner(const std::string& duty, const platform::store_item& item) {
+void membership_task::apply_owner(const std::string& duty, const platform::store_item& item) {
     const auto record = decode_archive<owner_record>(item.value);
     if (item.deleted || !record || m_owner_revisions[duty] >= item.revision) {
         return;
     }
-    note_owner(duty, record.value());
+    record_owner(duty, record.value());
     m_owner_revisions[duty] = item.revision;
     log_event(event_id::duty_owner, {{"duty", duty},
                                      {"owner", record.value().owner.id},
                                      {"epoch", record.value().epoch},
                                      {"token", item.revision}});
     if (record.value().owner.incarnation == m_self.incarnation) {
-        gain(duty, record.value(), item.revision);
+        acquire_duty(duty, record.value(), item.revision);
     } else if (m_owned.erase(duty) > 0) {
         m_handlers.lost(duty);
     }
 }
 
-void membership_task::note_owner(const std::string& duty, const owner_record& record) {
+void membership_task::record_owner(const std::string& duty, const owner_record& record) {
     const auto known = m_owners.find(duty);
     if (known != m_owners.end()) {
-        m_last_owners[duty] = known->second.owner.id;
+        m_previous_owners[duty] = known->second.owner.id;
     }
     m_owners[duty] = record;
 }
 
-void membership_task::gain(const std::string& duty, const owner_record& record, std::int64_t revision) {
+void membership_task::acquire_duty(const std::string& duty, const owner_record& record,
+                                   std::int64_t revision) {
     const auto owned = m_owned.find(duty);
     if (owned != m_owned.end() && owned->second.item.token >= revision) {
         return;
     }
-    const auto last = m_last_owners.find(duty);
-    const bool own_before = last != m_last_owners.end() && last->second == m_self.id;
-    const holding held{{duty, record.epoch, revision, own_before}, m_lease, m_lease_certain_until};
+    const auto previous = m_previous_owners.find(duty);
+    const bool was_previous_owner = previous != m_previous_owners.end() && previous->second == m_self.id;
+    const owned_duty held{
+        {duty, record.epoch, revision, was_previous_owner}, m_lease, m_lease_confirmed_until};
     m_owned[duty] = held;
     m_handlers.gained(held.item);
 }
@@ -241,10 +243,10 @@
     if (owner != m_owners.end() && owner->second.owner.incarnation == m_self.incarnation) {
         return milliseconds(0);
     }
-    milliseconds delay = turn * static_cast<std::int64_t>(claim_position(duty));
+    milliseconds delay = claim_order_delay * static_cast<std::int64_t>(claim_position(duty));
     if (owner != m_owners.end() && owner->second.owner.id != m_self.id &&
         m_nodes.contains(owner->second.owner.id)) {
-        delay += last_owner_advantage;
+        delay += previous_owner_head_start;
     }
     return delay;
 }
@@ -255,7 +257,7 @@
 /// come to the same deal.
 std::size_t membership_task::claim_position(const std::string& duty) const {
     std::map<std::string, std::size_t> duties;
-    for (const auto& [name, alive] : m_alive) {
+    for (const auto& [name, alive] : m_live_keys) {
         ++duties[alive.value];
     }
     for (const std::string& vacant : m_duties) {
@@ -268,7 +270,7 @@
             return static_cast<std::size_t>(
                 std::ranges::count_if(m_nodes, [&](const auto& item) { return rank(item.second) < own; }));
         }
-        if (!m_alive.contains(vacant) && !m_nodes.empty()) {
+        if (!m_live_keys.contains(vacant) && !m_nodes.empty()) {
             const auto first =
                 std::ranges::min_element(m_nodes, {}, [&](const auto& item) { return rank(item.second); });
             ++duties[first->first];
@@ -277,27 +279,27 @@
     return m_nodes.size();
 }
 
-void membership_task::consider_claims() {
+void membership_task::claim_vacant_duties() {
     m_claim_timer->start(claim_interval);
     const timestamp now = event_loop::now();
-    const bool ready = m_claiming && m_listed && m_lease != 0 && m_registered_at != timestamp(0);
-    const bool settled = now - m_started_at >= settle_time;
+    const bool ready = m_claiming_enabled && m_listed && m_lease != 0 && m_registered_at != timestamp(0);
+    const bool startup_delay_passed = now - m_started_at >= startup_claim_delay;
     for (const std::string& duty : m_duties) {
-        const auto alive = m_alive.find(duty);
+        const auto alive = m_live_keys.find(duty);
         const auto owner = m_owners.find(duty);
-        const bool mine = owner != m_owners.end() && owner->second.owner.id == m_self.id;
+        const bool owned_by_self = owner != m_owners.end() && owner->second.owner.id == m_self.id;
         // A key under the lease of our own earlier incarnation is a leftover: that process is gone.
-        const bool leftover = mine && alive != m_alive.end() && alive->second.lease != m_lease;
-        if (alive != m_alive.end() && !leftover) {
+        const bool is_stale = owned_by_self && alive != m_live_keys.end() && alive->second.lease != m_lease;
+        if (alive != m_live_keys.end() && !is_stale) {
             m_vacant_since.erase(duty);
             continue;
         }
-        const bool in_time = settled || owner != m_owners.end();
-        if (!ready || !in_time) {
+        const bool is_claimable = startup_delay_passed || owner != m_owners.end();
+        if (!ready || !is_claimable) {
             continue; // The turns count from the moment when everybody may claim.
         }
         const timestamp since = m_vacant_since.try_emplace(duty, now).first->second;
-        if (!m_claims.contains(duty) && now - since >= claim_delay(duty)) {
+        if (!m_pending_claims.contains(duty) && now - since >= claim_delay(duty)) {
             claim(duty);
         }
     }
@@ -310,13 +312,14 @@
         const bool same = owner->second.owner.incarnation == m_self.incarnation;
         record.epoch = owner->second.epoch + (same ? 0 : 1);
     }
-    const auto alive = m_alive.find(duty);
+    const auto alive = m_live_keys.find(duty);
     platform::store_transaction change;
     change.conditions.push_back({owner_prefix + duty, m_owner_revisions[duty]});
-    change.conditions.push_back({alive_prefix + duty, alive == m_alive.end() ? 0 : alive->second.revision});
+    change.conditions.push_back(
+        {alive_prefix + duty, alive == m_live_keys.end() ? 0 : alive->second.revision});
     change.writes.push_back({owner_prefix + duty, encode_archive(record), 0});
     change.writes.push_back({alive_prefix + duty, m_self.id, m_lease});
-    m_claims.insert(duty);
+    m_pending_claims.insert(duty);
     log_event(event_id::duty_claimed, {{"duty", duty},
                                        {"epoch", record.epoch},
                                        {"position", claim_position(duty)},
@@ -324,14 +327,14 @@
     m_store.commit(
         change, [this, duty, record, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
             if (!alive.expired()) {
-                claimed(duty, record, answer);
+                handle_claim_answer(duty, record, answer);
             }
         });
 }
 
-void membership_task::claimed(const std::string& duty, const owner_record& record,
-                              const platform::store_answer& answer) {
-    m_claims.erase(duty);
+void membership_task::handle_claim_answer(const std::string& duty, const owner_record& record,
+                                          const platform::store_answer& answer) {
+    m_pending_claims.erase(duty);
     m_vacant_since.erase(duty);
     if (answer.status == platform::store_status::no_lease) {
         m_lease = 0;
@@ -349,13 +352,13 @@
     if (answer.status != platform::store_status::ok) {
         return; // If it was carried out after all, the watch tells.
     }
-    note_owner(duty, record);
+    record_owner(duty, record);
     m_owner_revisions[duty] = std::max(m_owner_revisions[duty], answer.revision);
-    gain(duty, record, answer.revision);
+    acquire_duty(duty, record, answer.revision);
 }
 
 void membership_task::stop_claiming() {
-    m_claiming = false;
+    m_claiming_enabled = false;
     platform::store_transaction change;
     change.removals.push_back(node_prefix + m_self.id);
     m_store.commit(change, [](const platform::store_answer&) {});
@@ -364,8 +367,8 @@
 void membership_task::release(const std::string& duty) {
     m_owned.erase(duty);
     platform::store_transaction change;
-    const auto alive = m_alive.find(duty);
-    if (alive == m_alive.end()) {
+    const auto alive = m_live_keys.find(duty);
+    if (alive == m_live_keys.end()) {
         return;
     }
     change.conditions.push_back({alive_prefix + duty, alive->second.revision});
@@ -375,7 +378,7 @@
 
 void membership_task::leave(std::function<void()> done) {
     m_leaving = true;
-    m_claiming = false;
+    m_claiming_enabled = false;
     m_owned.clear();
     m_watch.stop();
     if (m_lease == 0) {
--- a/node/membership_task.hpp
+++ b/node/membership_task.hpp
@@ -42,8 +42,9 @@
 struct ownership {
     std::string duty;
     std::uint32_t epoch = 0;
-    std::int64_t token = 0;  ///< Fencing token: the store's revision of the claim, so it only rises.
-    bool own_before = false; ///< This node, perhaps an earlier process of it, was the last owner as well.
+    std::int64_t token = 0; ///< Fencing token: the store's revision of the claim, so it only rises.
+    bool was_previous_owner =
+        false; ///< This node, perhaps an earlier process of it, was the last owner as well.
 };
 
 /// Keeps this node registered under a lease, knows the other nodes, and claims duties that nobody owns.
@@ -58,7 +59,7 @@
     struct handlers {
         std::function<void(const ownership&)> gained; ///< Owned from now on, or again under a new token.
         std::function<void(const std::string&)> lost; ///< Somebody else owns the duty.
-        std::function<void()> store_back;             ///< The store answers again after a failure.
+        std::function<void()> store_recovered;        ///< The store answers again after a failure.
     };
 
     membership_task(event_loop& loop, const node_settings& settings, platform::store_client& store,
@@ -78,7 +79,7 @@
     [[nodiscard]] std::optional<node_record> owner_of(const std::string& duty) const;
     [[nodiscard]] bool owns(const std::string& duty) const { return m_owned.contains(duty); }
     /// Until when, by our own clock, nobody else can have claimed the duty; 0 if we don't own it.
-    [[nodiscard]] timestamp certain_until(const std::string& duty) const;
+    [[nodiscard]] timestamp confirmed_until(const std::string& duty) const;
     /// Until when we may act as its owner at all.
     [[nodiscard]] timestamp act_until(const std::string& duty) const;
     /// When the store last renewed our lease.
@@ -89,26 +90,27 @@
 
   private:
     /// A duty that we own, and what proves it.
-    struct holding {
+    struct owned_duty {
         ownership item;
         std::int64_t lease = 0; ///< The lease under which it was claimed.
-        timestamp certain_until{0};
+        timestamp confirmed_until{0};
     };
 
-    void grant();
-    void granted(const platform::lease_answer& answer, timestamp asked_at);
+    void request_lease();
+    void handle_grant_answer(const platform::lease_answer& answer, timestamp asked_at);
     void register_self();
-    void renew();
-    void renewed(const platform::lease_answer& answer, timestamp asked_at);
-    void take_change(const platform::store_item& item);
-    void take_owner(const std::string& duty, const platform::store_item& item);
-    void consider_claims();
+    void renew_lease();
+    void handle_renew_answer(const platform::lease_answer& answer, timestamp asked_at);
+    void apply_change(const platform::store_item& item);
+    void apply_owner(const std::string& duty, const platform::store_item& item);
+    void claim_vacant_duties();
     [[nodiscard]] milliseconds claim_delay(const std::string& duty) const;
     [[nodiscard]] std::size_t claim_position(const std::string& duty) const;
     void claim(const std::string& duty);
-    void claimed(const std::string& duty, const owner_record& record, const platform::store_answer& answer);
-    void note_owner(const std::string& duty, const owner_record& record);
-    void gain(const std::string& duty, const owner_record& record, std::int64_t revision);
+    void handle_claim_answer(const std::string& duty, const owner_record& record,
+                             const platform::store_answer& answer);
+    void record_owner(const std::string& duty, const owner_record& record);
+    void acquire_duty(const std::string& duty, const owner_record& record, std::int64_t revision);
 
     event_loop& m_loop;
     const node_settings& m_settings;
@@ -119,20 +121,20 @@
     std::unique_ptr<timer> m_renew_timer;
     std::unique_ptr<timer> m_claim_timer;
     std::int64_t m_lease = 0;
-    timestamp m_lease_certain_until{0};
+    timestamp m_lease_confirmed_until{0};
     timestamp m_renewed_at{0};
     timestamp m_started_at{0};
     timestamp m_registered_at{0};
     std::map<std::string, node_record> m_nodes;
     std::map<std::string, owner_record> m_owners;
-    std::map<std::string, std::string> m_last_owners; ///< Duty -> the owner before the present one.
+    std::map<std::string, std::string> m_previous_owners; ///< Duty -> the owner before the present one.
     std::map<std::string, std::int64_t> m_owner_revisions;
-    std::map<std::string, platform::store_item> m_alive; ///< Duty -> its key under the owner's lease.
+    std::map<std::string, platform::store_item> m_live_keys; ///< Duty -> its key under the owner's lease.
     std::map<std::string, timestamp> m_vacant_since;
-    std::map<std::string, holding> m_owned;
+    std::map<std::string, owned_duty> m_owned;
     std::set<std::string> m_duties;
-    std::set<std::string> m_claims; ///< Claims on their way.
-    bool m_claiming = true;
+    std::set<std::string> m_pending_claims; ///< Claims on their way.
+    bool m_claiming_enabled = true;
     bool m_renewal_failed = false;
     bool m_listed = false;
     bool m_leaving = false;
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -1,7 +1,7 @@
 #include "node/node.hpp"
 
+#include "node/guaranteed_reply.hpp"
 #include "node/keys.hpp"
-#include "node/sure_reply.hpp"
 
 #include <algorithm>
 
@@ -11,16 +11,16 @@
 
 constexpr milliseconds tick_interval = 200ms;
 /// A tick this late is logged: an answer takes up to four turns of the loop, and those who ask wait 900 ms.
-constexpr milliseconds notable_lag = 100ms;
+constexpr milliseconds logged_lag = 100ms;
 /// The store was not reached for this long, neither from here nor through an owner elsewhere: no job can be
 /// accepted here, and the platform should send clients to other nodes. Above the interval of lease renewals
 /// (600 ms) and the answer of a slow store; one that was lost makes no difference, since the platform waits
 /// for two misses a second apart. Longer, a cut-off zone's clients come back to it until nobody would wait
 /// for them any more.
-constexpr milliseconds reach_bound = 1s;
+constexpr milliseconds store_reach_timeout = 1s;
 constexpr milliseconds peer_timeout = 800ms;
 /// After SIGTERM the platform needs two misses of its readiness check, one a second, to send no more.
-constexpr milliseconds shed_time = 2500ms;
+constexpr milliseconds shed_duration = 2500ms;
 /// Left of the grace period when the process ends whatever is open.
 constexpr milliseconds exit_margin = 700ms;
 
@@ -32,7 +32,8 @@
       m_configuration(loop, m_store, [this] { configuration_changed(); }),
       m_membership(loop, settings, m_store,
                    {[this](const ownership& held) { duty_gained(held); },
-                    [this](const std::string& duty) { duty_lost(duty); }, [this] { store_back(); }}),
+                    [this](const std::string& duty) { duty_lost(duty); },
+                    [this] { handle_store_recovery(); }}),
       m_ingress({loop, m_store, m_membership, m_configuration, m_peers, m_counters},
                 [this](const peer_request& request, const peer_server::reply& done) {
                     return handle_local(request, done);
@@ -103,7 +104,7 @@
         m_fleet = std::make_unique<fleet_task>(
             fleet_task::context{m_loop, m_settings, m_store, m_machines, m_membership, m_configuration,
                                 [this](const peer_request& request, peer_server::reply done) {
-                                    ask_pool(request, std::move(done));
+                                    send_to_pool_owner(request, std::move(done));
                                 }},
             held);
         m_fleet->start();
@@ -144,7 +145,7 @@
 }
 
 /// Watches that were waiting when the store went away may hang on silent connections for seconds.
-void node::store_back() {
+void node::handle_store_recovery() {
     m_configuration.refresh();
     for (const auto& [duty, task] : m_pools) {
         task->refresh();
@@ -161,29 +162,29 @@
     if (event_loop::now() >= m_membership.act_until(task->first)) {
         return false; // Perhaps no longer ours: the store knows.
     }
-    task->second->handle(request, sure_reply::make(done, m_lifetime.weak_token()));
+    task->second->handle(request, guaranteed_reply::make(done, m_lifetime.weak_token()));
     return true;
 }
 
 void node::handle_peer(const peer_request& request, peer_server::reply done) {
-    m_configuration.heard_of(request.configuration);
+    m_configuration.record_peer_version(request.configuration_version);
     const auto with_version = [this, done = std::move(done)](peer_answer answer) {
-        answer.configuration = m_configuration.current().version;
+        answer.configuration_version = m_configuration.current().version;
         answer.store_age_ms = (event_loop::now() - m_membership.renewed_at()).count();
         done(answer);
     };
     if (!handle_local(request, with_version)) {
-        with_version(answer_of(peer_outcome::not_owner));
+        with_version(make_answer(peer_outcome::not_owner));
     }
 }
 
-void node::ask_pool(const peer_request& request, peer_server::reply done) {
+void node::send_to_pool_owner(const peer_request& request, peer_server::reply done) {
     if (handle_local(request, done)) {
         return;
     }
     const auto owner = m_membership.owner_of(pool_duty(request.pool));
     if (!owner) {
-        done(answer_of(peer_outcome::not_owner));
+        done(make_answer(peer_outcome::not_owner));
         return;
     }
     m_peers.call({owner->address, owner->port}, request, peer_timeout, std::move(done));
@@ -193,8 +194,8 @@
 
 bool node::ready() const {
     const timestamp now = event_loop::now();
-    const timestamp reached = std::max(m_membership.renewed_at(), m_ingress.reached_store_at());
-    return !m_stopping && m_configuration.known() && now - reached < reach_bound;
+    const timestamp reached = std::max(m_membership.renewed_at(), m_ingress.peer_reached_store_at());
+    return !m_stopping && m_configuration.is_loaded() && now - reached < store_reach_timeout;
 }
 
 void node::tick() {
@@ -202,19 +203,19 @@
     if (m_tick_due != timestamp(0)) {
         const milliseconds lag = now - m_tick_due;
         m_longest_lag = std::max(m_longest_lag, lag);
-        if (lag >= notable_lag) {
+        if (lag >= logged_lag) {
             log_event(event_id::loop_late, {{"lag_ms", lag.count()}});
         }
     }
     m_tick_due = now + tick_interval;
     m_timer->start(tick_interval);
     flush_event_log();
-    m_ingress.answer_for_silence();
+    m_ingress.answer_stalled_submits();
     for (const auto& [duty, task] : m_pools) {
         task->answer_for_silence();
     }
     const bool is_ready = ready();
-    m_ingress.shed(!is_ready);
+    m_ingress.set_connection_shedding(!is_ready);
     if (is_ready != m_was_ready) {
         m_was_ready = is_ready;
         log_event(is_ready ? event_id::node_ready : event_id::node_not_ready,
@@ -222,7 +223,7 @@
                    {"store_age_ms", (event_loop::now() - m_membership.renewed_at()).count()},
                    {"stopping", static_cast<int>(m_stopping)}});
     }
-    const bool reachable = event_loop::now() - m_membership.renewed_at() < reach_bound;
+    const bool reachable = event_loop::now() - m_membership.renewed_at() < store_reach_timeout;
     if (reachable != m_store_reachable) {
         m_store_reachable = reachable;
         log_event(reachable ? event_id::store_back : event_id::store_unreachable,
@@ -242,31 +243,31 @@
     m_stop_at = event_loop::now();
     log_event(event_id::node_stopping, {{"duties", m_pools.size() + (m_fleet ? 1 : 0)}});
     m_membership.stop_claiming();
-    m_ingress.shed(true);
+    m_ingress.set_connection_shedding(true);
     if (m_fleet != nullptr) {
         m_fleet->stop();
         m_membership.release(fleet_duty);
     }
     for (const auto& [duty, task] : m_pools) {
-        ++m_winding_down;
+        ++m_stopping_pools;
         task->wind_down([this, duty = duty] {
-            --m_winding_down;
+            --m_stopping_pools;
             m_membership.release(duty);
         });
     }
 }
 
 void node::finish_stop() {
-    const milliseconds since = event_loop::now() - m_stop_at;
-    if (since >= shed_time && !m_closed) {
+    const milliseconds elapsed = event_loop::now() - m_stop_at;
+    if (elapsed >= shed_duration && !m_closed) {
         m_closed = true;
-        m_ingress.close();
+        m_ingress.stop_accepting();
     }
-    const bool quiet = m_closed && m_ingress.idle() && m_winding_down == 0;
-    if (m_left || (!quiet && since < m_settings.grace - exit_margin)) {
+    const bool is_drained = m_closed && m_ingress.is_idle() && m_stopping_pools == 0;
+    if (m_has_left || (!is_drained && elapsed < m_settings.grace_period - exit_margin)) {
         return;
     }
-    m_left = true;
+    m_has_left = true;
     m_membership.leave([this] {
         log_event(event_id::node_stopped, {{"after_ms", (event_loop::now() - m_stop_at).count()}});
         m_stopped();
--- a/node/node.hpp
+++ b/node/node.hpp
@@ -28,10 +28,10 @@
     void configuration_changed();
     void duty_gained(const ownership& held);
     void duty_lost(const std::string& duty);
-    void store_back();
+    void handle_store_recovery();
     bool handle_local(const peer_request& request, const peer_server::reply& done);
     void handle_peer(const peer_request& request, peer_server::reply done);
-    void ask_pool(const peer_request& request, peer_server::reply done);
+    void send_to_pool_owner(const peer_request& request, peer_server::reply done);
     [[nodiscard]] bool ready() const;
     void tick();
     void finish_stop();
@@ -56,14 +56,14 @@
     std::unique_ptr<timer> m_timer;
     std::function<void()> m_stopped;
     timestamp m_stop_at{0};
-    std::size_t m_winding_down = 0;
+    std::size_t m_stopping_pools = 0;
     timestamp m_tick_due{0};
     milliseconds m_longest_lag{0}; ///< Of a tick behind its time, since the metrics were last read.
     bool m_was_ready = false;
     bool m_store_reachable = false;
     bool m_stopping = false;
     bool m_closed = false;
-    bool m_left = false;
+    bool m_has_left = false;
     lifetime m_lifetime;
 };
 
--- a/node/node_settings.cpp
+++ b/node/node_settings.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-bool is_address(const std::string& text) {
+bool is_ipv4_address(const std::string& text) {
     in_addr parsed{};
     return inet_pton(AF_INET, text.c_str(), &parsed) == 1;
 }
@@ -22,14 +22,14 @@
     if (colon != std::string::npos) {
         std::from_chars(text.data() + colon + 1, text.data() + text.size(), where.port);
     }
-    if (!is_address(where.address) || where.port == 0) {
+    if (!is_ipv4_address(where.address) || where.port == 0) {
         out.add(root.path_of(key), "must be IPv4-NUMBER:PORT");
     }
     return where;
 }
 
 /// A duration given as a number that may have a fraction.
-milliseconds read_duration(json_object& root, std::string_view key, double unit_ms, double most,
+milliseconds read_duration(json_object& root, std::string_view key, double unit_ms, double max_ms,
                            findings& out) {
     const boost::json::value* value = root.child(key);
     if (value == nullptr || !value->is_number()) {
@@ -37,7 +37,7 @@
         return milliseconds(0);
     }
     const double number = value->to_number<double>() * unit_ms;
-    if (number < 0 || number > most) {
+    if (number < 0 || number > max_ms) {
         out.add(root.path_of(key), "is out of range");
         return milliseconds(0);
     }
@@ -59,7 +59,7 @@
     settings.clients = read_endpoint(root, "clients", out);
     settings.readiness = read_endpoint(root, "readiness", out);
     const std::string address = root.text("address");
-    if (!is_address(address)) {
+    if (!is_ipv4_address(address)) {
         out.add("/address", "must be an IPv4 number");
     }
     settings.peers = {address, static_cast<std::uint16_t>(root.number("peer_port", {1, 65'535}))};
@@ -74,16 +74,16 @@
     if (settings.vm_lease < 1s) {
         out.add("/vm_lease_ms", "must be at least 1000");
     }
-    settings.order_quiet = read_duration(root, "order_quiet_ms", 1, one_hour_ms, out);
-    settings.grace = read_duration(root, "grace_s", 1000, one_hour_ms, out);
-    settings.keep_ended = read_duration(root, "keep_ended_s", 1000, 24 * one_hour_ms, out);
+    settings.min_order_interval = read_duration(root, "order_quiet_ms", 1, one_hour_ms, out);
+    settings.grace_period = read_duration(root, "grace_s", 1000, one_hour_ms, out);
+    settings.ended_job_retention = read_duration(root, "keep_ended_s", 1000, 24 * one_hour_ms, out);
     if (root.child("stop_ms") != nullptr) {
         settings.stop_time = read_duration(root, "stop_ms", 1, one_hour_ms, out);
     }
     if (root.child("capacity_age_ms") != nullptr) {
-        settings.capacity_age = read_duration(root, "capacity_age_ms", 1, one_hour_ms, out);
+        settings.max_capacity_age = read_duration(root, "capacity_age_ms", 1, one_hour_ms, out);
     }
-    settings.upkeep_time = read_duration(root, "upkeep_s", 1000, one_hour_ms, out);
+    settings.maintenance_time = read_duration(root, "upkeep_s", 1000, one_hour_ms, out);
     settings.move_time = read_duration(root, "move_s", 1000, one_hour_ms, out);
     const boost::json::value* rate = root.child("machine_orders_per_s");
     settings.machine_orders_per_s = rate != nullptr && rate->is_number() ? rate->to_number<double>() : 0;
--- a/node/peer_client.cpp
+++ b/node/peer_client.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 /// Kept open between the calls of a busy node; a handshake costs more than an idle descriptor.
-constexpr milliseconds connection_idle = 20s;
+constexpr milliseconds max_connection_idle = 20s;
 constexpr const char* content_type = "application/octet-stream";
 
 } // namespace
 
 peer_client::peer_client(event_loop& loop)
-    : m_client(loop, {.max_idle_per_endpoint = 16, .max_idle_time = connection_idle}) {}
+    : m_client(loop, {.max_idle_per_endpoint = 16, .max_idle_time = max_connection_idle}) {}
 
 void peer_client::call(const endpoint& to, const peer_request& request, milliseconds timeout, callback done) {
     http_call call;
@@ -26,19 +26,20 @@
     m_client.send(std::move(call), [done = std::move(done)](const http_answer& answer) {
         if (answer.status != exchange_status::answered || answer.code != 200) {
             const bool unsent = answer.status == exchange_status::connect_failed;
-            done(answer_of(unsent ? peer_outcome::unreachable : peer_outcome::unknown));
+            done(make_answer(unsent ? peer_outcome::unreachable : peer_outcome::unknown));
             return;
         }
         const auto decoded = decode_archive<peer_answer>(answer.body);
-        done(decoded ? decoded.value() : answer_of(peer_outcome::unknown));
+        done(decoded ? decoded.value() : make_answer(peer_outcome::unknown));
     });
 }
 
 peer_server::peer_server(event_loop& loop, handler on_request)
     : m_handler(std::move(on_request)),
-      m_server(loop, {}, [this](const std::shared_ptr<server_request>& request) { take(request); }) {}
+      m_server(loop, {},
+               [this](const std::shared_ptr<server_request>& request) { handle_request(request); }) {}
 
-void peer_server::take(const std::shared_ptr<server_request>& request) {
+void peer_server::handle_request(const std::shared_ptr<server_request>& request) {
     const auto decoded = decode_archive<peer_request>(request->body());
     if (!decoded) {
         log_event(event_id::peer_message_refused, {{"peer", request->peer()}});
--- a/node/peer_client.hpp
+++ b/node/peer_client.hpp
@@ -32,7 +32,7 @@
     [[nodiscard]] bool listen(const endpoint& where) { return m_server.listen(where); }
 
   private:
-    void take(const std::shared_ptr<server_request>& request);
+    void handle_request(const std::shared_ptr<server_request>& request);
 
     handler m_handler;
     http_server m_server;
--- a/node/peer_protocol.hpp
+++ b/node/peer_protocol.hpp
@@ -10,11 +10,11 @@
 
 /// What one node asks of another.
 enum class peer_request_kind : std::uint8_t {
-    submit,     ///< Accept a job.
-    status,     ///< Tell a job's phase.
-    cancel,     ///< Cancel a job.
-    count,      ///< Tell how many jobs of a queue have not begun.
-    fleet_look, ///< Keep these VMs empty; tell the pool's demand and its VMs.
+    submit,       ///< Accept a job.
+    status,       ///< Tell a job's phase.
+    cancel,       ///< Cancel a job.
+    count,        ///< Tell how many jobs of a queue have not begun.
+    demand_query, ///< Keep these VMs empty; tell the pool's demand and its VMs.
 };
 
 /// How a peer answered.
@@ -33,15 +33,18 @@
     std::string pool;
     std::string job;
     std::string queue;
-    jobs::job_spec spec;          ///< With `submit`.
-    std::vector<std::string> vms; ///< With `fleet_look`: all VMs that are to be empty; others may work again.
-    std::uint64_t arriving = 0;   ///< With `fleet_look`: VMs that are on their way to the pool.
-    std::uint64_t obtainable = 0; ///< With `fleet_look`: machines that no pool wanted in the round before.
-    std::int64_t configuration = 0; ///< Version in force at the sender.
+    jobs::job_spec spec; ///< With `submit`.
+    std::vector<std::string>
+        vms_to_empty; ///< With `fleet_look`: all VMs that are to be empty; others may work again.
+    std::uint64_t arriving_vms = 0; ///< With `fleet_look`: VMs that are on their way to the pool.
+    std::uint64_t obtainable_machines =
+        0; ///< With `fleet_look`: machines that no pool wanted in the round before.
+    std::int64_t configuration_version = 0; ///< Version in force at the sender.
 
     template <typename Archive>
     void serialize(Archive& archive) {
-        archive(kind, pool, job, queue, spec, vms, arriving, obtainable, configuration);
+        archive(kind, pool, job, queue, spec, vms_to_empty, arriving_vms, obtainable_machines,
+                configuration_version);
     }
 };
 
@@ -49,19 +52,21 @@
     std::uint8_t outcome = static_cast<std::uint8_t>(peer_outcome::unknown);
     std::uint8_t phase = 0;
     std::uint64_t count = 0;
-    std::int64_t age_ms = 0; ///< With `count` and `overloaded`: how old the owner's copy of the inbox may be.
+    std::int64_t inbox_age_ms =
+        0; ///< With `count` and `overloaded`: how old the owner's copy of the inbox may be.
     std::int64_t retry_after_ms = 0;
-    jobs::pool_demand demand;       ///< With `fleet_look`.
-    std::int64_t configuration = 0; ///< Version in force at the answering node.
-    std::int64_t store_age_ms = 0;  ///< How long ago the store last renewed the answering node's lease.
+    jobs::pool_demand demand;               ///< With `fleet_look`.
+    std::int64_t configuration_version = 0; ///< Version in force at the answering node.
+    std::int64_t store_age_ms = 0; ///< How long ago the store last renewed the answering node's lease.
 
     template <typename Archive>
     void serialize(Archive& archive) {
-        archive(outcome, phase, count, age_ms, retry_after_ms, demand, configuration, store_age_ms);
+        archive(outcome, phase, count, inbox_age_ms, retry_after_ms, demand, configuration_version,
+                store_age_ms);
     }
 };
 
-[[nodiscard]] inline peer_answer answer_of(peer_outcome outcome) {
+[[nodiscard]] inline peer_answer make_answer(peer_outcome outcome) {
     peer_answer answer;
     answer.outcome = static_cast<std::uint8_t>(outcome);
     return answer;
--- a/node/pool_requests.cpp
+++ b/node/pool_requests.cpp
@@ -6,7 +6,7 @@
 
 void pool_task::handle(const peer_request& request, const reply& done) {
     if (!m_ready || m_lost || m_winding_down) {
-        done(answer_of(peer_outcome::not_owner));
+        done(make_answer(peer_outcome::not_owner));
         return;
     }
     switch (static_cast<peer_request_kind>(request.kind)) {
@@ -22,11 +22,11 @@
     case peer_request_kind::count:
         count(request, done);
         return;
-    case peer_request_kind::fleet_look:
+    case peer_request_kind::demand_query:
         fleet_look(request, done);
         return;
     }
-    done(answer_of(peer_outcome::unavailable));
+    done(make_answer(peer_outcome::unavailable));
 }
 
 void pool_task::status(const peer_request& request, const reply& done) const {
@@ -38,11 +38,11 @@
         phase = jobs::job_phase::queued;
     }
     if (!phase) {
-        done(answer_of(m_submitting.contains(request.job) ? peer_outcome::unavailable
-                                                          : peer_outcome::unknown_job));
+        done(make_answer(m_submitting.contains(request.job) ? peer_outcome::unavailable
+                                                            : peer_outcome::unknown_job));
         return;
     }
-    peer_answer answer = answer_of(peer_outcome::ok);
+    peer_answer answer = make_answer(peer_outcome::ok);
     answer.phase = static_cast<std::uint8_t>(*phase);
     done(answer);
 }
@@ -54,7 +54,7 @@
         std::ranges::count(m_unsettled_submits, request.queue, [](const auto& item) { return item.second; }));
     known.in_inbox = waiting_in_inbox(request.queue);
     known.inbox_age = inbox_age();
-    const milliseconds certain = m_parts.membership.certain_until(m_held.duty) - event_loop::now();
+    const milliseconds certain = m_parts.membership.confirmed_until(m_held.duty) - event_loop::now();
     known.is_confirmed_owner = certain > 0ms;
     const std::optional<std::size_t> whole = jobs::complete_queue_count(known);
     log_event(event_id::count_computed, {{"pool", m_pool},
@@ -66,21 +66,21 @@
                                          {"inbox_age_ms", known.inbox_age.count()},
                                          {"certain_ms", certain.count()},
                                          {"token", m_held.token}});
-    peer_answer answer = answer_of(whole ? peer_outcome::ok : peer_outcome::unavailable);
+    peer_answer answer = make_answer(whole ? peer_outcome::ok : peer_outcome::unavailable);
     answer.count = whole.value_or(0);
-    answer.age_ms = std::max<std::int64_t>(0, known.inbox_age.count());
+    answer.inbox_age_ms = std::max<std::int64_t>(0, known.inbox_age.count());
     done(answer);
 }
 
 void pool_task::cancel(const peer_request& request, const reply& done) {
     const std::string& id = request.job;
     if (m_ended.contains(id)) {
-        done(answer_of(peer_outcome::ok));
+        done(make_answer(peer_outcome::ok));
         return;
     }
     switch (m_scheduler.cancel(id, event_loop::now())) {
     case jobs::cancel_outcome::unknown_job:
-        done(answer_of(m_submitting.contains(id) ? peer_outcome::unavailable : peer_outcome::unknown_job));
+        done(make_answer(m_submitting.contains(id) ? peer_outcome::unavailable : peer_outcome::unknown_job));
         return;
     case jobs::cancel_outcome::already_final:
     case jobs::cancel_outcome::cancelled:
@@ -99,7 +99,7 @@
         if (job != nullptr && !job->is_final_phase_stored) {
             return false;
         }
-        item.done(answer_of(peer_outcome::ok));
+        item.done(make_answer(peer_outcome::ok));
         return true;
     });
 }
@@ -119,7 +119,7 @@
 }
 
 void pool_task::fleet_look(const peer_request& request, const reply& done) {
-    const std::set<std::string> wanted(request.vms.begin(), request.vms.end());
+    const std::set<std::string> wanted(request.vms_to_empty.begin(), request.vms_to_empty.end());
     const bool changed = wanted != m_cleared_vms;
     const std::set<std::string> before = std::exchange(m_cleared_vms, wanted);
     for (const std::string& vm : wanted) {
@@ -127,9 +127,9 @@
     }
     use_again(before);
     m_cleared_at = event_loop::now();
-    m_scheduler.set_expected_vms(request.arriving, request.obtainable);
-    m_directory.expect_changes(request.arriving > 0);
-    peer_answer answer = answer_of(peer_outcome::ok);
+    m_scheduler.set_expected_vms(request.arriving_vms, request.obtainable_machines);
+    m_directory.expect_changes(request.arriving_vms > 0);
+    peer_answer answer = make_answer(peer_outcome::ok);
     answer.demand = m_scheduler.demand(event_loop::now());
     for (jobs::vm_load& vm : answer.demand.vms) {
         vm.released = wanted.contains(vm.vm) && !m_record.may_contain(vm.vm);
--- a/node/pool_storing.cpp
+++ b/node/pool_storing.cpp
@@ -207,7 +207,7 @@
     platform::store_transaction change;
     change.conditions.push_back(owner_condition());
     for (const auto& [id, ended] : m_ended_at) {
-        if (now - ended > m_parts.settings.keep_ended &&
+        if (now - ended > m_parts.settings.ended_job_retention &&
             change.removals.size() < platform::max_transaction_entries - 1) {
             change.removals.push_back(progress_prefix(m_pool) + id);
         }
--- a/node/pool_submits.cpp
+++ b/node/pool_submits.cpp
@@ -25,19 +25,19 @@
     // Also what still lies in the inbox: judged as new, a repeat of an accepted job could be refused for
     // load.
     if (m_scheduler.has_job(id) || m_ended.contains(id) || m_inbox_jobs.contains(id)) {
-        done(answer_of(peer_outcome::ok));
+        done(make_answer(peer_outcome::ok));
         return;
     }
     if (m_submitting.contains(id)) {
-        if (store_is_silent(m_parts.store, event_loop::now())) {
-            done(answer_of(peer_outcome::unknown));
+        if (store_is_unresponsive(m_parts.store, event_loop::now())) {
+            done(make_answer(peer_outcome::unknown));
         } else {
             m_submits_again.emplace(id, done);
         }
         return;
     }
     if (store_is_failing(m_parts.store, event_loop::now())) {
-        peer_answer answer = answer_of(peer_outcome::unavailable);
+        peer_answer answer = make_answer(peer_outcome::unavailable);
         answer.retry_after_ms = retry_after_outage.count();
         log_event(event_id::submit_refused, {{"pool", m_pool}, {"job", id}, {"why", "store"}});
         done(answer);
@@ -47,13 +47,13 @@
     const jobs::admission_verdict verdict = m_scheduler.check_admission(request.spec);
     const std::int64_t waiting_ms = verdict.queue_time.count();
     if (!verdict.accepted) {
-        peer_answer answer = answer_of(peer_outcome::overloaded);
+        peer_answer answer = make_answer(peer_outcome::overloaded);
         answer.retry_after_ms = verdict.retry_after.count();
-        answer.age_ms = inbox_age().count();
+        answer.inbox_age_ms = inbox_age().count();
         log_event(event_id::submit_refused, {{"pool", m_pool},
                                              {"job", id},
                                              {"why", "load"},
-                                             {"inbox_age_ms", answer.age_ms},
+                                             {"inbox_age_ms", answer.inbox_age_ms},
                                              {"waiting_ms", waiting_ms},
                                              {"retry_after_ms", verdict.retry_after.count()}});
         done(answer);
@@ -99,7 +99,7 @@
 }
 
 void pool_task::answer_for_silence() {
-    if (m_submitting.empty() || !store_is_silent(m_parts.store, event_loop::now())) {
+    if (m_submitting.empty() || !store_is_unresponsive(m_parts.store, event_loop::now())) {
         return;
     }
     for (waiting_submit& item : m_sent_submits) {
@@ -128,10 +128,10 @@
 }
 
 void pool_task::answer_submit(const std::string& job, const reply& done, peer_outcome outcome) {
-    done(answer_of(outcome));
+    done(make_answer(outcome));
     const auto [first, last] = m_submits_again.equal_range(job);
     for (auto item = first; item != last; ++item) {
-        item->second(answer_of(outcome));
+        item->second(make_answer(outcome));
     }
     m_submits_again.erase(first, last);
 }
--- a/node/pool_task.cpp
+++ b/node/pool_task.cpp
@@ -125,9 +125,9 @@
         return;
     }
     const timestamp now = event_loop::now();
-    const bool capacity_known = now - m_directory.complete_until() <= m_parts.settings.capacity_age;
+    const bool capacity_known = now - m_directory.complete_until() <= m_parts.settings.max_capacity_age;
     m_scheduler.hold_starts(!m_vms_check_capacity && !capacity_known);
-    const bool certain = now < m_parts.membership.certain_until(m_held.duty);
+    const bool certain = now < m_parts.membership.confirmed_until(m_held.duty);
     const jobs::decisions wanted = m_scheduler.decide(now, wall_clock_ms(), certain);
     log_decisions(wanted);
     for (const jobs::stop_order& order : wanted.stops) {
--- a/node/siskinpaddle_node.cpp
+++ b/node/siskinpaddle_node.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// What a running process takes over from changed settings: nothing yet but the report of their findings.
-void check_again(const std::string& path) {
+void recheck_settings(const std::string& path) {
     std::ostringstream problems;
     if (load_settings(path, node::parse_node_settings, problems)) {
         log_event(event_id::settings_reloaded, {{"file", path}});
@@ -30,7 +30,7 @@
     const auto stop = [&] { process.stop([&loop] { loop.stop(); }); };
     loop.on_signal(SIGTERM, stop);
     loop.on_signal(SIGINT, stop);
-    loop.on_signal(SIGHUP, [&] { check_again(path); });
+    loop.on_signal(SIGHUP, [&] { recheck_settings(path); });
     process.start();
     loop.run();
     return exit_success;
@@ -52,8 +52,8 @@
                                            "LEVEL", line);
         TCLAP::SwitchArg check("", "check", "Only check the settings and print every finding.", line);
         line.parse(argc, argv);
-        const auto least = value_named<event_level>(level.getValue());
-        if (!least) {
+        const auto min_level = value_named<event_level>(level.getValue());
+        if (!min_level) {
             std::cerr << "--log-level: '" << level.getValue() << "' is not a level\n";
             return exit_invalid_settings;
         }
@@ -65,7 +65,7 @@
             std::cout << file.getValue() << ": good\n";
             return exit_success;
         }
-        return run(*settings, file.getValue(), *least);
+        return run(*settings, file.getValue(), *min_level);
     } catch (const std::exception& error) {
         std::cerr << "siskinpaddle-node: " << error.what() << "\n";
         return exit_failure;
--- a/node/store_health.hpp
+++ b/node/store_health.hpp
@@ -17,13 +17,13 @@
 
 /// The store counts as silent, not just late or losing single answers, after this long: above the interval of
 /// lease renewals (600 ms), which are answered meanwhile.
-inline constexpr milliseconds store_silent_after = 800ms;
+inline constexpr milliseconds store_unresponsive_after = 800ms;
 
 /// Whether nothing at all has been heard of the store for so long that what was sent to it is better given
 /// up: its client can still come back. Answers outages that begin in a turn of demand; while single answers
 /// are lost, the write is repeated and its client waits for the outcome.
-[[nodiscard]] inline bool store_is_silent(const platform::store_client& store, timestamp now) {
-    return store.unresponsive_for(now) >= store_silent_after;
+[[nodiscard]] inline bool store_is_unresponsive(const platform::store_client& store, timestamp now) {
+    return store.unresponsive_for(now) >= store_unresponsive_after;
 }
 
 } // namespace siskinpaddle::node
--- a/node/vm_directory.cpp
+++ b/node/vm_directory.cpp
@@ -12,7 +12,7 @@
 constexpr milliseconds watch_pause = 400ms;
 /// While machines are on their way to the pool: each tenth of a second that they idle there is paid for, and
 /// callers wait for them.
-constexpr milliseconds expecting_pause = 60ms;
+constexpr milliseconds expected_changes_pause = 60ms;
 
 } // namespace
 
@@ -20,17 +20,17 @@
     : m_on_change(std::move(on_change)),
       m_watch(
           loop, store, std::string(platform::vm_prefix), watch_wait,
-          [this](const platform::store_item& item) { take(item); }, watch_pause) {}
+          [this](const platform::store_item& item) { apply_item(item); }, watch_pause) {}
 
 void vm_directory::start(std::function<void()> on_ready) {
     m_watch.start(std::move(on_ready));
 }
 
 void vm_directory::expect_changes(bool expected) {
-    m_watch.set_pause(expected ? expecting_pause : watch_pause);
+    m_watch.set_pause(expected ? expected_changes_pause : watch_pause);
 }
 
-void vm_directory::take(const platform::store_item& item) {
+void vm_directory::apply_item(const platform::store_item& item) {
     const std::string incarnation = item.key.substr(platform::vm_prefix.size());
     if (item.deleted) {
         m_unusable.erase(incarnation);
@@ -40,7 +40,7 @@
     findings problems;
     const auto info = platform::decode_vm(item.key, item.value, problems);
     if (!info) {
-        take_unusable(incarnation, item.revision, problems.items().front());
+        record_unusable(incarnation, item.revision, problems.items().front());
         return;
     }
     m_unusable.erase(incarnation);
@@ -56,8 +56,8 @@
 /// such as whether the VM drains. So the VM gets no new work, as one that is no longer listed, until its
 /// entry can be read again. What runs there goes on under its lease. Without this, tasks were started on a VM
 /// that nobody vouched for. Each problem is logged once, however often it is written.
-void vm_directory::take_unusable(const std::string& incarnation, std::int64_t revision,
-                                 const finding& problem) {
+void vm_directory::record_unusable(const std::string& incarnation, std::int64_t revision,
+                                   const finding& problem) {
     const auto [known, is_new] = m_unusable.try_emplace(incarnation, problem);
     if (is_new || known->second != problem) {
         known->second = problem;
--- a/node/vm_directory.hpp
+++ b/node/vm_directory.hpp
@@ -30,8 +30,8 @@
     }
 
   private:
-    void take(const platform::store_item& item);
-    void take_unusable(const std::string& incarnation, std::int64_t revision, const finding& problem);
+    void apply_item(const platform::store_item& item);
+    void record_unusable(const std::string& incarnation, std::int64_t revision, const finding& problem);
     void delist(const std::string& incarnation);
 
     change_handler m_on_change;
--- a/node/watch_task.cpp
+++ b/node/watch_task.cpp
@@ -10,21 +10,21 @@
 
 /// Pause before a failed call is repeated: short, since what is watched must be known within two seconds,
 /// and doubled up to a bound, since the store counts each call.
-constexpr milliseconds first_pause = 50ms;
-constexpr milliseconds longest_pause = 400ms;
+constexpr milliseconds initial_retry_delay = 50ms;
+constexpr milliseconds max_retry_delay = 400ms;
 /// A listing that has run for this long may hang on a connection that went silent: another one is begun
 /// beside it ...
-constexpr milliseconds listing_patience = 1s;
+constexpr milliseconds listing_timeout = 1s;
 /// ... but not while a large value may still be on its way: over a narrow link each of the two would take the
 /// other's bytes, and none would ever be whole.
-constexpr int transfer_times = 3;
+constexpr int transfer_time_factor = 3;
 
 } // namespace
 
 watch_task::watch_task(event_loop& loop, platform::store_client& store, std::string prefix, milliseconds wait,
                        change_handler on_change, milliseconds pause)
     : m_loop(loop), m_store(store), m_prefix(std::move(prefix)), m_wait(wait), m_pause(pause),
-      m_on_change(std::move(on_change)), m_retry(loop.make_timer([this] {
+      m_on_change(std::move(on_change)), m_retry_timer(loop.make_timer([this] {
           if (m_running && m_retry_action) {
               std::exchange(m_retry_action, {})();
           }
@@ -39,19 +39,19 @@
 /// What is given up is given up on the wire, too: large values that nobody waits for any more would fill a
 /// slow link and make the next reading late as well.
 void watch_task::refresh() {
-    const milliseconds patience =
-        std::max(listing_patience, transfer_times * m_store.transfer_time(platform::large_value_bytes));
-    if (m_listing_now && event_loop::now() - m_listing_begun_at < patience) {
+    const milliseconds timeout =
+        std::max(listing_timeout, transfer_time_factor * m_store.transfer_time(platform::large_value_bytes));
+    if (m_is_listing && event_loop::now() - m_listing_begun_at < timeout) {
         return;
     }
-    if (m_waiting_watch) {
-        m_store.cancel_watch(*std::exchange(m_waiting_watch, std::nullopt));
+    if (m_pending_watch) {
+        m_store.cancel_watch(*std::exchange(m_pending_watch, std::nullopt));
     }
     begin_listing();
 }
 
 void watch_task::begin_listing() {
-    m_listing_now = true;
+    m_is_listing = true;
     m_listing_begun_at = event_loop::now();
     // The retry of a listing or watch before this one would empty what this one has listed so far.
     m_retry_action = {};
@@ -59,7 +59,7 @@
     list({}, m_round);
 }
 
-void watch_task::succeeded() {
+void watch_task::record_success() {
     if (m_failing_since != timestamp(0)) {
         log_event(event_id::watch_resumed, {{"prefix", m_prefix},
                                             {"after_ms", (event_loop::now() - m_failing_since).count()},
@@ -70,22 +70,23 @@
     m_failing_since = timestamp(0);
 }
 
-void watch_task::again(platform::store_status status, std::function<void()> action) {
+void watch_task::retry_after_failure(platform::store_status status, std::function<void()> action) {
     if (m_failures == 0) {
         m_failing_since = event_loop::now();
         log_event(event_id::watch_failing, {{"prefix", m_prefix},
                                             {"outcome", platform::name_of(status)},
                                             {"revision", m_revision},
-                                            {"listing", static_cast<int>(m_listing_now)}});
+                                            {"listing", static_cast<int>(m_is_listing)}});
     }
-    const milliseconds pause = std::min(longest_pause, first_pause * (1 << std::min(m_failures, 5)));
+    const milliseconds pause =
+        std::min(max_retry_delay, initial_retry_delay * (1 << std::min(m_failures, 5)));
     ++m_failures;
-    later(pause, std::move(action));
+    schedule(pause, std::move(action));
 }
 
-void watch_task::later(milliseconds pause, std::function<void()> action) {
+void watch_task::schedule(milliseconds pause, std::function<void()> action) {
     m_retry_action = std::move(action);
-    m_retry->start(pause);
+    m_retry_timer->start(pause);
 }
 
 void watch_task::list(const std::string& after, std::uint64_t round) {
@@ -97,20 +98,20 @@
     m_store.range(m_prefix, after,
                   [this, round, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
                       if (!alive.expired()) {
-                          take_page(answer, round);
+                          apply_page(answer, round);
                       }
                   });
 }
 
-void watch_task::take_page(const platform::store_answer& answer, std::uint64_t round) {
+void watch_task::apply_page(const platform::store_answer& answer, std::uint64_t round) {
     if (!m_running || round != m_round) {
         return;
     }
     if (answer.status != platform::store_status::ok) {
-        again(answer.status, [this, round] { list({}, round); });
+        retry_after_failure(answer.status, [this, round] { list({}, round); });
         return;
     }
-    succeeded();
+    record_success();
     if (m_listing_revision == 0) {
         // Pages are no snapshot: what changes while they are read shows in a watch from the first one.
         m_listing_revision = answer.revision;
@@ -129,7 +130,7 @@
 }
 
 void watch_task::finish_listing() {
-    m_listing_now = false;
+    m_is_listing = false;
     m_complete_until = std::max(m_complete_until, m_page_sent_at);
     std::vector<platform::store_item> removed;
     for (const auto& [key, item] : m_items) {
@@ -171,29 +172,29 @@
 
 void watch_task::watch(std::uint64_t round) {
     m_watch_sent_at = event_loop::now();
-    m_waiting_watch =
+    m_pending_watch =
         m_store.watch(m_prefix, m_revision, m_wait,
                       [this, round, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
                           if (!alive.expired()) {
-                              take_events(answer, round);
+                              apply_events(answer, round);
                           }
                       });
 }
 
-void watch_task::take_events(const platform::store_answer& answer, std::uint64_t round) {
+void watch_task::apply_events(const platform::store_answer& answer, std::uint64_t round) {
     if (!m_running || round != m_round) {
         return;
     }
-    m_waiting_watch.reset();
+    m_pending_watch.reset();
     if (answer.status == platform::store_status::compacted) {
         begin_listing();
         return;
     }
     if (answer.status != platform::store_status::ok) {
-        again(answer.status, [this, round] { watch(round); });
+        retry_after_failure(answer.status, [this, round] { watch(round); });
         return;
     }
-    succeeded();
+    record_success();
     for (const platform::store_item& item : answer.items) {
         apply(item);
     }
@@ -206,7 +207,7 @@
         return;
     }
     if (m_pause.count() > 0 && !answer.items.empty()) {
-        later(m_pause, [this, round] { watch(round); });
+        schedule(m_pause, [this, round] { watch(round); });
     } else {
         watch(round);
     }
--- a/node/watch_task.hpp
+++ b/node/watch_task.hpp
@@ -46,14 +46,14 @@
   private:
     void begin_listing();
     void list(const std::string& after, std::uint64_t round);
-    void take_page(const platform::store_answer& answer, std::uint64_t round);
+    void apply_page(const platform::store_answer& answer, std::uint64_t round);
     void finish_listing();
     void watch(std::uint64_t round);
-    void take_events(const platform::store_answer& answer, std::uint64_t round);
+    void apply_events(const platform::store_answer& answer, std::uint64_t round);
     void apply(const platform::store_item& item);
-    void again(platform::store_status status, std::function<void()> action);
-    void succeeded();
-    void later(milliseconds pause, std::function<void()> action);
+    void retry_after_failure(platform::store_status status, std::function<void()> action);
+    void record_success();
+    void schedule(milliseconds pause, std::function<void()> action);
 
     event_loop& m_loop;
     platform::store_client& m_store;
@@ -70,13 +70,13 @@
     bool m_running = false;
     int m_failures = 0;
     timestamp m_failing_since{0};
-    bool m_listing_now = false;
+    bool m_is_listing = false;
     timestamp m_listing_begun_at{0};
     timestamp m_page_sent_at{0};  ///< Of the listing's first page.
     timestamp m_watch_sent_at{0}; ///< Of the latest watch.
     timestamp m_complete_until{0};
-    std::optional<std::uint64_t> m_waiting_watch; ///< The call that waits for a change.
-    std::unique_ptr<timer> m_retry;
+    std::optional<std::uint64_t> m_pending_watch; ///< The call that waits for a change.
+    std::unique_ptr<timer> m_retry_timer;
     std::function<void()> m_retry_action;
     lifetime m_lifetime;
 };
--- a/tests/doors/door_test.cpp
+++ b/tests/doors/door_test.cpp
@@ -317,7 +317,7 @@
     progress.checkpoints[2] = "c";
     node::peer_request request;
     request.pool = "p";
-    request.vms = {"a", "b"};
+    request.vms_to_empty = {"a", "b"};
     for (int i = 0; i < mutations; ++i) {
         static_cast<void>(decode_archive<jobs::job_record>(mutated(encode_archive(record), random)));
         static_cast<void>(decode_archive<node::peer_request>(mutated(encode_archive(request), random)));
--- a/tests/node/busy_loop_test.cpp
+++ b/tests/node/busy_loop_test.cpp
@@ -66,21 +66,21 @@
     // store answers each call within milliseconds. The loop of the pool's owner takes 200 ms a turn; a call
     // takes three turns there, so that one has always waited for over half a second: an answer that is not
     // read yet is taken for the store's silence, and every submit is turned down.
-    for (const milliseconds turn : {100ms, 150ms, 200ms, 240ms}) {
+    for (const milliseconds iteration_time : {100ms, 150ms, 200ms, 240ms}) {
         separate_store store;
         event_loop loop;
         platform::store_client client(loop, store.where());
         std::unique_ptr<timer> busy;
-        int looks = 0;
+        int check_count = 0;
         int failing = 0;
         int answered = 0;
-        make_busy(loop, busy, turn, [&] {
-            ++looks;
+        make_busy(loop, busy, iteration_time, [&] {
+            ++check_count;
             failing += node::store_is_failing(client, event_loop::now()) ? 1 : 0;
             client.get("k", [&](const platform::store_answer&) { ++answered; });
         });
         REQUIRE(loop_until(loop, [&] { return answered >= 40; }));
-        INFO("turn ", turn.count(), " ms, looks ", looks);
+        INFO("turn ", iteration_time.count(), " ms, looks ", check_count);
         CHECK(failing == 0);
     }
 }
@@ -91,8 +91,8 @@
     // it is given up half sent after 1.5 s, and sent again as it was for as long as the load lasts.
     constexpr std::size_t payload = 4000;
     constexpr std::size_t jobs = platform::max_transaction_entries - 1;
-    for (const milliseconds turn : {50ms, 100ms, 150ms, 200ms}) {
-        INFO("turn ", turn.count(), " ms");
+    for (const milliseconds iteration_time : {50ms, 100ms, 150ms, 200ms}) {
+        INFO("turn ", iteration_time.count(), " ms");
         separate_store store;
         event_loop loop;
         platform::store_client client(loop, store.where());
@@ -101,7 +101,7 @@
             change.writes.push_back({"sp/job/p/" + std::to_string(i), std::string(payload, 'x'), 0});
         }
         std::unique_ptr<timer> busy;
-        make_busy(loop, busy, turn);
+        make_busy(loop, busy, iteration_time);
         std::optional<platform::store_status> outcome;
         client.commit(change, [&](const platform::store_answer& answer) { outcome = answer.status; });
         REQUIRE(loop_until(loop, [&] { return outcome.has_value(); }));
--- a/tests/node/cancelled_runs_test.cpp
+++ b/tests/node/cancelled_runs_test.cpp
@@ -86,7 +86,7 @@
         d.vms[0]->lose_stops(0);
         CHECK(d.until([&] { return all_ended(d); }));
         check_stopped(d);
-        CHECK(d.shows("n1", job_a, "cancelled"));
+        CHECK(d.reaches_phase("n1", job_a, "cancelled"));
         CHECK(d.vms[0]->runs().size() == 2);
     }
 }
@@ -109,7 +109,7 @@
         d.start_node("n2");
         CHECK(d.until([&] { return all_ended(d); }));
         check_stopped(d);
-        CHECK(d.shows("n2", job_a, "cancelled"));
+        CHECK(d.reaches_phase("n2", job_a, "cancelled"));
         CHECK(d.vms[0]->runs().size() == 2);
     }
 }
@@ -165,13 +165,13 @@
             CHECK(cancel(d, "n2"));
         }
         if (item.silent) {
-            CHECK(d.shows("n2", job_a, "cancelled"));
+            CHECK(d.reaches_phase("n2", job_a, "cancelled"));
             vm.set_silent(false);
         }
         CHECK(d.until([&] { return all_ended(d); }));
         CHECK(vm.stops_to_lose() == 0);
         check_stopped(d);
-        CHECK(d.shows("n2", job_a, "cancelled"));
+        CHECK(d.reaches_phase("n2", job_a, "cancelled"));
         CHECK(vm.runs().size() == 2);
     }
 }
--- a/tests/node/capacity_test.cpp
+++ b/tests/node/capacity_test.cpp
@@ -38,10 +38,10 @@
     REQUIRE(d.until([&] { return machine.runs().size() >= 8; }));
     machine.set_capacity({1000, 8192, 0});
     const timestamp shrunk = event_loop::now() + 1s; // The copy of its registration may be that old.
-    CHECK(d.shows("n1", std::string(16, '1'), "completed"));
+    CHECK(d.reaches_phase("n1", std::string(16, '1'), "completed"));
     CHECK(most_at_once(machine.runs(), shrunk) <= 1000 / task_millicores);
     machine.set_capacity({3000, 8192, 0});
     hand_in("2");
-    CHECK(d.shows("n1", std::string(16, '2'), "completed"));
+    CHECK(d.reaches_phase("n1", std::string(16, '2'), "completed"));
     CHECK(most_at_once(machine.runs(), shrunk) == 3000 / task_millicores);
 }
--- a/tests/node/configuration_test.cpp
+++ b/tests/node/configuration_test.cpp
@@ -18,16 +18,16 @@
     platform::store_client client(loop, {"127.0.0.1", store.port()});
     node::configuration_task configuration(loop, client, [] {});
     configuration.start();
-    REQUIRE(loop_until(loop, [&] { return configuration.known(); }));
-    const std::string reading(platform::wire::range_path);
-    const std::size_t before = store.calls(reading);
+    REQUIRE(loop_until(loop, [&] { return configuration.is_loaded(); }));
+    const std::string range_path(platform::wire::range_path);
+    const std::size_t before = store.calls(range_path);
     for (int answers_of_peers = 0; answers_of_peers < 400; ++answers_of_peers) {
-        configuration.heard_of(4);
+        configuration.record_peer_version(4);
     }
-    REQUIRE(loop_until(loop, [&] { return store.calls(reading) > before; }));
+    REQUIRE(loop_until(loop, [&] { return store.calls(range_path) > before; }));
     store.put(key, node_deployment::configuration(4));
     CHECK(loop_until(loop, [&] { return configuration.current().version == 4; }));
-    CHECK(store.calls(reading) == before + 1);
+    CHECK(store.calls(range_path) == before + 1);
 }
 
 TEST_CASE("a newer version that only peers know of is read, though the watch brings nothing") {
@@ -40,9 +40,9 @@
     platform::store_client client(loop, {"127.0.0.1", store.port()});
     node::configuration_task configuration(loop, client, [] {});
     configuration.start();
-    REQUIRE(loop_until(loop, [&] { return configuration.known(); }));
+    REQUIRE(loop_until(loop, [&] { return configuration.is_loaded(); }));
     store.hold_watches(std::string(platform::operator_prefix));
     store.put(key, node_deployment::configuration(4));
-    configuration.heard_of(4);
+    configuration.record_peer_version(4);
     CHECK(loop_until(loop, [&] { return configuration.current().version == 4; }));
 }
--- a/tests/node/count_test.cpp
+++ b/tests/node/count_test.cpp
@@ -13,7 +13,7 @@
 
 /// Whether the node tells of at least half of the jobs, or tells nothing.
 bool tells_of_most(node_deployment& d, const std::string& node, std::size_t jobs) {
-    const std::optional<std::int64_t> told = d.told_count(node);
+    const std::optional<std::int64_t> told = d.pending_count(node);
     return !told || *told * 2 >= static_cast<std::int64_t>(jobs);
 }
 
@@ -38,21 +38,21 @@
         INFO(std::string(item.what));
         node_deployment d;
         if (item.takes_over) {
-            d.leave_in_inbox("a", left_jobs);
+            d.store_in_inbox("a", left_jobs);
             d.store.hold_writes("sp/inbox/");
             d.start_node("n1");
         } else {
             d.start_node("n1");
             d.wait_until_serving("n1");
             d.store.hold_writes("sp/inbox/");
-            d.leave_in_inbox("a", left_jobs);
+            d.store_in_inbox("a", left_jobs);
         }
         // Long enough that the entry's copy of a count from before is too old, and that the owner has read
         // the inbox.
         wait_for(d, oldest_count);
         CHECK(tells_of_most(d, "n1", left_jobs));
         d.store.hold_writes({});
-        CHECK(d.until([&] { return d.told_count("n1") == static_cast<std::int64_t>(left_jobs); }));
+        CHECK(d.until([&] { return d.pending_count("n1") == static_cast<std::int64_t>(left_jobs); }));
         CHECK(d.until([&] { return d.store.count("sp/inbox/") == 0; }));
     }
 }
@@ -65,12 +65,12 @@
     d.start_node("n1");
     d.wait_until_serving("n1");
     d.store.hold_watches("sp/inbox/");
-    d.leave_in_inbox("a", left_jobs);
+    d.store_in_inbox("a", left_jobs);
     wait_for(d, oldest_count + 500ms);
     CHECK(tells_of_most(d, "n1", left_jobs));
     CHECK(d.call("n1", "GET", "/quotes/").code == 503);
     d.store.hold_watches({});
-    CHECK(d.until([&] { return d.told_count("n1") == static_cast<std::int64_t>(left_jobs); }));
+    CHECK(d.until([&] { return d.pending_count("n1") == static_cast<std::int64_t>(left_jobs); }));
 }
 
 TEST_CASE("a queue's count is not told by an owner that another may have replaced") {
@@ -92,7 +92,7 @@
     d.start_node("n1"); // Without a VM, jobs wait and more are soon refused.
     d.wait_until_serving("n1");
     d.store.hold_writes("sp/inbox/");
-    d.leave_in_inbox("a", 1);
+    d.store_in_inbox("a", 1);
     const std::string left = "a000000000000000";
     REQUIRE(d.until([&] { return d.metric("n1", "siskinpaddle_pool_inbox_jobs{pool=\"p\"}") == 1; }));
     int refused = 0;
@@ -121,7 +121,7 @@
     });
     busy->start(0ms);
     d.store.hold_watches("sp/inbox/");
-    d.leave_in_inbox("a", many_jobs);
+    d.store_in_inbox("a", many_jobs);
     d.store.hold_watches({}); // All at once, as a watch brings them that waits behind others.
     const auto known = [&] { return d.metric("n1", "siskinpaddle_pool_jobs{pool=\"p\"}"); };
     CHECK(loop_until(
@@ -138,7 +138,7 @@
     d.start_node("n1"); // Without a VM, jobs wait and more are soon refused.
     d.wait_until_serving("n1");
     d.store.hold_watches("sp/inbox/");
-    d.leave_in_inbox("a", 1);
+    d.store_in_inbox("a", 1);
     wait_for(d, oldest_count + 500ms);
     REQUIRE(d.call("n1", "GET", "/quotes/").code == 503); // The copy is known to be old.
     const std::string left = "a000000000000000";
--- a/tests/node/faulty_task_test.cpp
+++ b/tests/node/faulty_task_test.cpp
@@ -66,6 +66,6 @@
                    d.call(node, "GET", "/quotes/" + faulty_job).body.find("\"failed\"") != std::string::npos;
         }));
         CHECK(story_of(d, task).starts <= most_starts);
-        CHECK(d.shows(node, sound_job, "completed"));
+        CHECK(d.reaches_phase(node, sound_job, "completed"));
     }
 }
--- a/tests/node/fleet_test.cpp
+++ b/tests/node/fleet_test.cpp
@@ -49,7 +49,7 @@
 
 /// The pool's demand as its owner tells it in the peak of a turn: far more than its two VMs hold.
 node::peer_answer full_pool() {
-    node::peer_answer answer = node::answer_of(node::peer_outcome::ok);
+    node::peer_answer answer = node::make_answer(node::peer_outcome::ok);
     answer.demand.need_millicores = 64'000;
     answer.demand.retained_millicores = 64'000;
     for (const char* name : {"vm-m1", "vm-m2"}) {
@@ -97,8 +97,8 @@
     settings.id = "n1";
     settings.availability_zone = "z";
     settings.peers = {"127.0.0.1", free_port()};
-    settings.order_quiet = 3s;
-    settings.upkeep_time = 2s;
+    settings.min_order_interval = 3s;
+    settings.maintenance_time = 2s;
     settings.move_time = 1500ms;
     settings.machine_orders_per_s = 10;
     platform::store_client client(loop, {"127.0.0.1", store.port()});
@@ -111,7 +111,7 @@
             answers.push_back(loop.make_timer([done] { done(full_pool()); }));
             answers.back()->start(times.owner);
         } else if (times.other_owner) {
-            done(node::answer_of(node::peer_outcome::ok));
+            done(node::make_answer(node::peer_outcome::ok));
         }
     };
     membership = std::make_unique<node::membership_task>(
--- a/tests/node/inbox_test.cpp
+++ b/tests/node/inbox_test.cpp
@@ -52,13 +52,13 @@
     send_submit(d, first_id, first, first_done);
     REQUIRE(d.until([&] { return d.store.calls(std::string(platform::wire::commit_path)) > calls; }));
     send_submit(d, job_id, second, second_done); // Waits behind the first one's write.
-    d.leave_in_inbox("a", 1);
+    d.store_in_inbox("a", 1);
     REQUIRE(d.until([&] { return inbox_jobs(d) == 1; }));
     d.store.set_busy(true);
     d.store.hold_writes({}); // The first one's write is carried out, the second one's refused.
     REQUIRE(d.until([&] { return second_done; }));
     d.store.set_busy(false);
-    REQUIRE(d.shows("n1", first_id, "completed"));
+    REQUIRE(d.reaches_phase("n1", first_id, "completed"));
     CHECK(loop_until(
         d.loop,
         [&] { return d.call("n1", "GET", "/quotes/" + job_id).body.find("completed") != std::string::npos; },
@@ -75,25 +75,25 @@
     // the old one as new.
     node_deployment d;
     d.serve_with_one_vm(50ms);
-    d.nodes["n1"].settings->keep_ended = 1s;
+    d.nodes["n1"].settings->ended_job_retention = 1s;
     d.store.hold_writes("sp/job/");
     http_answer answer;
     bool done = false;
     const std::size_t calls = d.store.calls(std::string(platform::wire::commit_path));
     send_submit(d, job_id, answer, done);
     REQUIRE(d.until([&] { return d.store.calls(std::string(platform::wire::commit_path)) > calls; }));
-    d.leave_in_inbox("a", 1);
+    d.store_in_inbox("a", 1);
     REQUIRE(d.until([&] { return inbox_jobs(d) == 1; }));
     d.store.hold_writes({});
     REQUIRE(d.until([&] { return done; }));
     CHECK(answer.code == 200);
-    REQUIRE(d.shows("n1", job_id, "completed"));
+    REQUIRE(d.reaches_phase("n1", job_id, "completed"));
     CHECK(loop_until(
-        d.loop, [&] { return d.told_count("n1") == 0 && d.store.count("sp/inbox/") == 0; }, patience));
+        d.loop, [&] { return d.pending_count("n1") == 0 && d.store.count("sp/inbox/") == 0; }, patience));
     // Forgotten, as after the time for which ended jobs are kept.
     REQUIRE(d.until([&] { return d.store.count("sp/progress/") == 0; }));
-    d.leave_in_inbox("c", 1);
-    REQUIRE(d.shows("n1", "c000000000000000", "completed"));
+    d.store_in_inbox("c", 1);
+    REQUIRE(d.reaches_phase("n1", "c000000000000000", "completed"));
     REQUIRE(d.until([&] { return d.store.count("sp/inbox/") == 0; }));
     CHECK(d.done_runs() == 2);
     d.check_runs_once();
@@ -109,9 +109,9 @@
     const std::string job = "c000000000000000";
     REQUIRE(d.call("n1", "POST", "/quotes/" + job, d.job_body(1)).code == 200);
     d.store.hold_events("sp/inbox/p/submit/");
-    d.leave_in_inbox("a", 5);
+    d.store_in_inbox("a", 5);
     d.store.put("sp/inbox/p/cancel/" + job, "1");
-    CHECK(d.until([&] { return d.shows("n1", job, "cancelled"); }));
+    CHECK(d.until([&] { return d.reaches_phase("n1", job, "cancelled"); }));
     d.store.hold_events({});
     CHECK(d.until([&] { return d.store.count("sp/inbox/") == 0; }));
 }
--- a/tests/node/late_write_test.cpp
+++ b/tests/node/late_write_test.cpp
@@ -27,7 +27,7 @@
 void serve_and_settle(node_deployment& d) {
     d.serve_with_one_vm(100ms);
     REQUIRE(d.call("n1", "POST", "/quotes/" + warm_up, d.job_body(1)).code == 200);
-    REQUIRE(d.shows("n1", warm_up, "completed"));
+    REQUIRE(d.reaches_phase("n1", warm_up, "completed"));
 }
 
 bool shows_in_time(node_deployment& d, const std::string& node, const std::string& job,
@@ -51,7 +51,7 @@
     serve_and_settle(d);
     d.store.delay_writes(1);
     REQUIRE(d.call("n1", "POST", "/quotes/" + job_a, d.job_body(1)).code == 200);
-    REQUIRE(d.shows("n1", job_a, "completed"));
+    REQUIRE(d.reaches_phase("n1", job_a, "completed"));
     REQUIRE(d.until([&] { return d.store.late_writes() == 0; }));
     CHECK(loop_until(
         d.loop, [&] { return d.store.count("sp/job/p/") == 0; }, patience));
@@ -67,7 +67,7 @@
     REQUIRE(d.call("n1", "POST", "/quotes/" + job_a, two_step_body()).code == 200);
     d.store.delay_writes(1); // The next write tells that the first step is done.
     REQUIRE(d.until([&] { return d.store.late_writes() == 1; }));
-    REQUIRE(d.shows("n1", job_a, "completed"));
+    REQUIRE(d.reaches_phase("n1", job_a, "completed"));
     REQUIRE(d.until([&] { return d.store.late_writes() == 0; }));
     d.kill_node("n1");
     d.start_node("n2");
@@ -96,7 +96,7 @@
     constexpr std::size_t jobs = 40; // More than go into one transaction in any way.
     node_deployment d;
     d.add_vm("v1", 100ms);
-    d.leave_in_inbox("c", jobs);
+    d.store_in_inbox("c", jobs);
     for (std::size_t i = 0; i < jobs; ++i) {
         const std::string number = std::to_string(i);
         d.store.put("sp/inbox/p/cancel/c" + std::string(15 - number.size(), '0') + number, "1");
--- a/tests/node/node_deployment.hpp
+++ b/tests/node/node_deployment.hpp
@@ -77,10 +77,10 @@
         settings.store = {"127.0.0.1", store.port()};
         settings.machines = {"127.0.0.1", 1}; // Nobody listens: machines stay where they are.
         settings.vm_lease = 6s;
-        settings.order_quiet = 3s;
-        settings.grace = 6s;
-        settings.keep_ended = 120s;
-        settings.upkeep_time = 2s;
+        settings.min_order_interval = 3s;
+        settings.grace_period = 6s;
+        settings.ended_job_retention = 120s;
+        settings.maintenance_time = 2s;
         settings.move_time = 1500ms;
         item.process = std::make_unique<node::node>(loop, settings);
         REQUIRE(item.process->listen().empty());
@@ -154,7 +154,7 @@
 
     /// Leaves jobs of one task in the pool's inbox, as entries do whose clients are told that they are
     /// accepted.
-    void leave_in_inbox(const std::string& first_digits, std::size_t jobs) {
+    void store_in_inbox(const std::string& first_digits, std::size_t jobs) {
         for (std::size_t i = 0; i < jobs; ++i) {
             const std::string number = std::to_string(i);
             std::string id = first_digits;
@@ -165,7 +165,7 @@
     }
 
     /// How many jobs the node says to wait; nothing if it doesn't say.
-    std::optional<std::int64_t> told_count(const std::string& node) {
+    std::optional<std::int64_t> pending_count(const std::string& node) {
         const http_answer answer = call(node, "GET", "/quotes/");
         if (answer.code != 200) {
             return std::nullopt;
@@ -174,7 +174,7 @@
     }
 
     /// Waits until a status call through `node` shows the phase.
-    bool shows(const std::string& node, const std::string& job, const std::string& phase) {
+    bool reaches_phase(const std::string& node, const std::string& job, const std::string& phase) {
         return until([&] {
             const http_answer answer = call(node, "GET", "/quotes/" + job);
             return answer.body.find("\"" + phase + "\"") != std::string::npos;
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -20,8 +20,8 @@
     d.wait_until_serving("n2");
     CHECK(d.call("n1", "POST", "/quotes/" + job_a, d.job_body(4)).code == 200);
     CHECK(d.call("n2", "POST", "/quotes/" + job_a, d.job_body(4)).code == 200); // A repeat is the same job.
-    CHECK(d.shows("n1", job_a, "completed"));
-    CHECK(d.shows("n2", job_a, "completed"));
+    CHECK(d.reaches_phase("n1", job_a, "completed"));
+    CHECK(d.reaches_phase("n2", job_a, "completed"));
     CHECK(d.done_runs() == 4);
     d.check_runs_once();
     CHECK(d.store.count("sp/job/p/") == 0);
@@ -44,7 +44,7 @@
     REQUIRE(d.until_started(12));
     d.kill_node("n1");
     d.start_node("n2");
-    CHECK(d.shows("n2", job_a, "completed"));
+    CHECK(d.reaches_phase("n2", job_a, "completed"));
     CHECK(d.done_runs() == 12);
     d.check_runs_once();
 }
@@ -55,7 +55,7 @@
     CHECK(d.call("n1", "POST", "/quotes/" + job_a, d.job_body(20)).code == 200);
     d.kill_node("n1");
     d.start_node("n1");
-    CHECK(d.shows("n1", job_a, "completed"));
+    CHECK(d.reaches_phase("n1", job_a, "completed"));
     CHECK(d.done_runs() == 20);
     d.check_runs_once();
 }
@@ -76,7 +76,7 @@
     CHECK(refused.headers.get("Retry-After") == "1");
     CHECK(d.until([&] { return d.done_runs() == 1; }));
     d.store.set_silent(false);
-    CHECK(d.shows("n1", job_a, "completed"));
+    CHECK(d.reaches_phase("n1", job_a, "completed"));
     CHECK(d.call("n1", "GET", "/quotes/" + job_b).code == 410);
     CHECK(d.done_runs() == 1);
 }
@@ -89,7 +89,7 @@
     const int first = d.call("n1", "POST", "/quotes/" + job_a, d.job_body(2)).code;
     CHECK((first == 200 || first == 504));
     CHECK(d.call("n1", "POST", "/quotes/" + job_a, d.job_body(2)).code == 200);
-    CHECK(d.shows("n1", job_a, "completed"));
+    CHECK(d.reaches_phase("n1", job_a, "completed"));
     CHECK(d.done_runs() == 2);
     d.check_runs_once();
 }
@@ -105,7 +105,7 @@
     d.kill_node("n1");
     d.start_node("n2");
     d.wait_until_serving("n2");
-    CHECK(d.shows("n2", job_a, "cancelled"));
+    CHECK(d.reaches_phase("n2", job_a, "cancelled"));
     CHECK(d.vms[0]->runs().size() == 2);
 }
 
@@ -128,7 +128,7 @@
     CHECK(d.call("n1", "POST", "/quotes/" + job_a, d.job_body(3)).code == 200);
     REQUIRE(d.until_started(3));
     d.store.lapse_leases();
-    CHECK(d.shows("n1", job_a, "completed"));
+    CHECK(d.reaches_phase("n1", job_a, "completed"));
     CHECK(d.vms[0]->runs().size() == 3);
     d.check_runs_once();
 }
@@ -140,7 +140,7 @@
     REQUIRE(d.until_started(2));
     d.vms[0]->set_silent(true);
     d.add_vm("v2", 100ms);
-    CHECK(d.shows("n1", job_a, "completed"));
+    CHECK(d.reaches_phase("n1", job_a, "completed"));
     d.check_runs_once();
 }
 
@@ -155,7 +155,7 @@
     d.store.put("sp/inbox/p/cancel/" + job_a, "1");
     d.start_node("n1");
     d.wait_until_serving("n1");
-    CHECK(d.shows("n1", job_a, "cancelled"));
+    CHECK(d.reaches_phase("n1", job_a, "cancelled"));
     CHECK(d.vms[0]->runs().empty());
     CHECK(d.until([&] { return d.store.count("sp/inbox/") == 0; }));
 }
@@ -179,7 +179,7 @@
     REQUIRE(d.until([&] { return claimed; }));
     REQUIRE(d.until([&] { return d.store.conflicts() > 0; })); // The inbox is read under the old token.
     d.store.hold_watches({});
-    CHECK(d.shows("n1", job_a, "completed"));
+    CHECK(d.reaches_phase("n1", job_a, "completed"));
     CHECK(d.until([&] { return d.store.count("sp/inbox/") == 0; }));
 }
 
@@ -195,7 +195,7 @@
     d.store.put(inbox, encode_archive(record));
     REQUIRE(d.until([&] { return d.store.late_writes() == 1; }));
     CHECK(d.store.contains(inbox)); // It is the write that takes the job which is late.
-    CHECK(d.shows("n1", job_a, "completed"));
+    CHECK(d.reaches_phase("n1", job_a, "completed"));
     REQUIRE(d.until([&] { return d.store.late_writes() == 0; }));
     CHECK(d.until([&] { return d.store.count("sp/job/p/") == 0; }));
     CHECK(d.done_runs() == 1);
@@ -227,5 +227,5 @@
     CHECK((code == 200 || code == 504)); // Found stored, or, while the store seems to fail, not known.
     CHECK(stored);
     d.store.on_change({});
-    CHECK(d.shows("n1", job_a, "completed")); // n1 has claimed the pool again.
+    CHECK(d.reaches_phase("n1", job_a, "completed")); // n1 has claimed the pool again.
 }
--- a/tests/node/overload_test.cpp
+++ b/tests/node/overload_test.cpp
@@ -29,7 +29,7 @@
     d.wait_until_serving("n2");
     REQUIRE(overload(d, "n2"));
     d.store.hold_writes("sp/job/");
-    d.leave_in_inbox("a", 1);
+    d.store_in_inbox("a", 1);
     d.kill_node("n1");
     const std::string refused = "c000000000000000";
     const http_answer answer = d.call("n2", "POST", "/quotes/" + refused, d.job_body(1));
--- a/tests/node/readiness_test.cpp
+++ b/tests/node/readiness_test.cpp
@@ -31,7 +31,7 @@
     return result;
 }
 
-bool is_sent_away(const http_answer& answer) {
+bool is_closed_after_reply(const http_answer& answer) {
     return answer.headers.get("Connection") == "close";
 }
 
@@ -46,19 +46,19 @@
     d.start_node("n2");
     d.wait_until_serving("n2");
     REQUIRE(d.call("n2", "POST", "/quotes/" + job_a, d.job_body(1)).code == 200);
-    REQUIRE(d.until([&] { return !is_sent_away(status_over_kept_connection(d, "n2")); }));
+    REQUIRE(d.until([&] { return !is_closed_after_reply(status_over_kept_connection(d, "n2")); }));
     CHECK(readiness_of(d, "n2") == 200);
 
     d.store.set_silent(true);
-    http_answer told;
+    http_answer status;
     REQUIRE(d.until([&] {
-        told = status_over_kept_connection(d, "n2");
-        return is_sent_away(told);
+        status = status_over_kept_connection(d, "n2");
+        return is_closed_after_reply(status);
     }));
-    CHECK(told.code == 200); // The owner still answers.
+    CHECK(status.code == 200); // The owner still answers.
     CHECK(readiness_of(d, "n2") == 503);
 
     d.store.set_silent(false);
-    CHECK(d.until([&] { return !is_sent_away(status_over_kept_connection(d, "n2")); }));
+    CHECK(d.until([&] { return !is_closed_after_reply(status_over_kept_connection(d, "n2")); }));
     CHECK(readiness_of(d, "n2") == 200);
 }
--- a/tests/node/silent_store_test.cpp
+++ b/tests/node/silent_store_test.cpp
@@ -14,11 +14,11 @@
 }
 
 /// Hands jobs in at the same moment, each over a connection of its own.
-struct submits {
+struct concurrent_submits {
     std::vector<std::optional<http_answer>> answers;
-    std::vector<milliseconds> took;
+    std::vector<milliseconds> durations;
 
-    submits(node_deployment& d, std::size_t count) : answers(count), took(count) {
+    concurrent_submits(node_deployment& d, std::size_t count) : answers(count), durations(count) {
         const timestamp began = event_loop::now();
         for (std::size_t i = 0; i < count; ++i) {
             http_call request;
@@ -32,7 +32,7 @@
             request.fresh_connection = true;
             d.client.send(std::move(request), [this, i, began](http_answer answer) {
                 answers[i] = std::move(answer);
-                took[i] = event_loop::now() - began;
+                durations[i] = event_loop::now() - began;
             });
         }
         REQUIRE(d.until([&] {
@@ -50,13 +50,14 @@
     node_deployment d;
     d.serve_with_one_vm(100ms);
     d.store.set_silent(true);
-    const submits caught(d, 20);
+    const concurrent_submits submitted(d, 20);
     std::vector<bool> refused;
-    for (std::size_t i = 0; i < caught.answers.size(); ++i) {
-        INFO("job ", i, ", code ", caught.answers[i]->code, " after ", caught.took[i].count(), " ms");
-        CHECK((caught.answers[i]->code == 503 || caught.answers[i]->code == 504));
-        CHECK(caught.took[i] < half_deadline);
-        refused.push_back(caught.answers[i]->code == 503);
+    for (std::size_t i = 0; i < submitted.answers.size(); ++i) {
+        INFO("job ", i, ", code ", submitted.answers[i]->code, " after ", submitted.durations[i].count(),
+             " ms");
+        CHECK((submitted.answers[i]->code == 503 || submitted.answers[i]->code == 504));
+        CHECK(submitted.durations[i] < half_deadline);
+        refused.push_back(submitted.answers[i]->code == 503);
     }
     // One write was on its way; what never left the process is refused, and truly never runs.
     CHECK(std::ranges::count(refused, true) >= 4);
@@ -69,7 +70,7 @@
             CHECK(d.call("n1", "GET", "/quotes/" + job_number(i)).code == 410);
         } else {
             CHECK(d.call("n1", "POST", "/quotes/" + job_number(i), d.job_body(1)).code == 200);
-            CHECK(d.shows("n1", job_number(i), "completed"));
+            CHECK(d.reaches_phase("n1", job_number(i), "completed"));
         }
     }
     CHECK(d.done_runs() == static_cast<std::size_t>(std::ranges::count(refused, false)));
@@ -92,6 +93,6 @@
     d.store.set_silent(false);
     REQUIRE(
         d.until([&] { return d.call("n2", "POST", "/quotes/" + job_number(1), d.job_body(1)).code == 200; }));
-    CHECK(d.shows("n2", job_number(1), "completed"));
+    CHECK(d.reaches_phase("n2", job_number(1), "completed"));
     CHECK(d.done_runs() == 1);
 }
--- a/tests/node/vm_entries_test.cpp
+++ b/tests/node/vm_entries_test.cpp
@@ -12,13 +12,13 @@
 const std::string job_b = "00000000000000bb";
 
 /// Above the 400 ms between two looks at the entries.
-constexpr milliseconds watched_within = 1500ms;
+constexpr milliseconds watch_delay_bound = 1500ms;
 
 /// Above the VMs' lease of six seconds.
 constexpr milliseconds beyond_lease = 8s;
 
 /// A job of one task that runs until it is stopped.
-std::string endless_job_body() {
+std::string long_running_job_body() {
     jobs::job_spec spec = one_task_record({}).spec;
     spec.payload = fakes::task_vm::endless_payload;
     spec.steps[0].long_running = true;
@@ -66,12 +66,12 @@
     d.start_node("n1");
     d.wait_until_serving("n1");
     CHECK(d.call("n1", "POST", "/quotes/" + job_a, d.job_body(30)).code == 200);
-    CHECK(d.shows("n1", job_a, "completed"));
+    CHECK(d.reaches_phase("n1", job_a, "completed"));
     for (const auto& [name, entry] : unusable_entries(whole)) {
         d.store.put(platform::vm_key("later-" + name), entry);
     }
     CHECK(d.call("n1", "POST", "/quotes/" + job_b, d.job_body(30)).code == 200);
-    CHECK(d.shows("n1", job_b, "completed"));
+    CHECK(d.reaches_phase("n1", job_b, "completed"));
     CHECK(d.done_runs() == 60);
     CHECK(calls == 0);
     d.check_runs_once();
@@ -82,30 +82,31 @@
     // overwrites a VM's entry while a task runs there and for longer than the VM's lease; then the VM writes
     // its own again. Its old entry stayed in use; had it counted as gone, its task would have been given
     // away.
-    struct overwritten_by {
+    struct overwrite_case {
         std::string name;
-        std::string waiting; ///< The job that comes meanwhile.
+        std::string pending_job; ///< The job that comes meanwhile.
     };
     node_deployment d;
     d.serve_with_one_vm(100ms);
     const std::string good = d.vms[0]->registration("p");
     const auto entries = unusable_entries(good);
-    CHECK(d.call("n1", "POST", "/quotes/" + job_a, endless_job_body()).code == 200);
+    CHECK(d.call("n1", "POST", "/quotes/" + job_a, long_running_job_body()).code == 200);
     REQUIRE(d.until_started(1));
     std::size_t started = 1;
-    for (const overwritten_by& item :
-         {overwritten_by{"cut", "00000000000000b1"}, overwritten_by{"state", "00000000000000b2"}}) {
+    for (const overwrite_case& item :
+         {overwrite_case{"cut", "00000000000000b1"}, overwrite_case{"state", "00000000000000b2"}}) {
         INFO(item.name);
         const auto entry =
             std::ranges::find(entries, item.name, [](const auto& entry) { return entry.first; });
         d.store.put(platform::vm_key("v1"), entry->second);
         const timestamp overwritten = event_loop::now();
-        REQUIRE(d.until([&] { return event_loop::now() - overwritten > watched_within; }));
-        d.store.put("sp/inbox/p/submit/" + item.waiting, encode_archive(one_task_record(item.waiting)));
+        REQUIRE(d.until([&] { return event_loop::now() - overwritten > watch_delay_bound; }));
+        d.store.put("sp/inbox/p/submit/" + item.pending_job,
+                    encode_archive(one_task_record(item.pending_job)));
         REQUIRE(d.until([&] { return event_loop::now() - overwritten > beyond_lease; }));
         CHECK(d.vms[0]->runs().size() == started);
         d.store.put(platform::vm_key("v1"), good);
-        CHECK(d.shows("n1", item.waiting, "completed"));
+        CHECK(d.reaches_phase("n1", item.pending_job, "completed"));
         CHECK(d.vms[0]->runs().size() == ++started);
     }
     CHECK(d.vms[0]->runs()[0].ended == timestamp(0));
@@ -124,27 +125,27 @@
     const std::string good = vm.registration("p", 8080);
     const std::string key = platform::vm_key("v1");
     platform::store_client client(loop, {"127.0.0.1", store.port()});
-    std::vector<std::string> told;
+    std::vector<std::string> reported;
     node::vm_directory directory(loop, client, [&](const std::string& name, const auto& info) {
-        told.push_back(name + (info ? " listed" : " not listed"));
+        reported.push_back(name + (info ? " listed" : " not listed"));
     });
     directory.start({});
     store.put(key, good);
-    REQUIRE(loop_until(loop, [&] { return told.size() == 1; }));
+    REQUIRE(loop_until(loop, [&] { return reported.size() == 1; }));
     for (const auto& item : unusable_entries(good)) {
         if (item.first == "service") {
             continue; // Whole, but of no pool here: its pool's owner decides.
         }
         INFO(item.first);
-        told.clear();
+        reported.clear();
         store.put(key, item.second);
-        REQUIRE(loop_until(loop, [&] { return !told.empty(); }));
-        CHECK(told == std::vector<std::string>{"v1 not listed"});
+        REQUIRE(loop_until(loop, [&] { return !reported.empty(); }));
+        CHECK(reported == std::vector<std::string>{"v1 not listed"});
         CHECK(directory.vms().empty());
         CHECK(directory.is_registered("v1"));
         store.put(key, good);
-        REQUIRE(loop_until(loop, [&] { return told.size() == 2; }));
-        CHECK(told.back() == "v1 listed");
+        REQUIRE(loop_until(loop, [&] { return reported.size() == 2; }));
+        CHECK(reported.back() == "v1 listed");
         CHECK(directory.vms().contains("v1"));
     }
     store.put(key, "");
--- a/tests/node/watch_test.cpp
+++ b/tests/node/watch_test.cpp
@@ -13,7 +13,8 @@
     // when the store was back it was begun anew while the retry of the failed one still waited. The retry
     // emptied what the new listing had read of its first pages, and the rest was taken as whole.
     constexpr std::size_t items = 1000; // Twenty pages of the stand-in's.
-    constexpr milliseconds turn = 10ms; // A page takes some turns: longer than the retry waits, in all.
+    constexpr milliseconds iteration_time =
+        10ms; // A page takes some turns: longer than the retry waits, in all.
     event_loop loop;
     fakes::platform_store store(loop);
     REQUIRE(store.listen({"127.0.0.1", 0}));
@@ -36,7 +37,7 @@
     watch.refresh();
     std::unique_ptr<timer> busy;
     busy = loop.make_timer([&] {
-        std::this_thread::sleep_for(turn);
+        std::this_thread::sleep_for(iteration_time);
         busy->start(0ms);
     });
     busy->start(0ms);
