--- a/node/fleet_upkeep.cpp
+++ b/node/fleet_maintenance.cpp
@@ -7,17 +7,17 @@
 
 namespace siskinpaddle::node {
 
-std::map<std::string, jobs::wave_machine> fleet_task::upkeep_view() const {
+std::map<std::string, jobs::wave_machine> fleet_task::maintenance_view() const {
     std::map<std::string, jobs::wave_machine> view;
-    std::set<std::string> quiet;
-    std::set<std::string> endless;
+    std::set<std::string> idle_vms;
+    std::set<std::string> long_running_vms;
     for (const auto& [pool, demand] : m_demands) {
         for (const jobs::vm_load& vm : demand.vms) {
             if (vm.is_idle) {
-                quiet.insert(vm.vm);
+                idle_vms.insert(vm.vm);
             }
             if (vm.hosts_long_running) {
-                endless.insert(vm.vm);
+                long_running_vms.insert(vm.vm);
             }
         }
     }
@@ -26,67 +26,68 @@
         item.machine = name;
         item.pool = info.pool;
         item.vm = info.incarnation;
-        item.is_up =
-            info.phase == platform::machine_phase::up && !m_moves.contains(name) && !m_recent.contains(name);
-        item.in_maintenance = info.phase == platform::machine_phase::maintenance || m_recent.contains(name);
-        const bool off = info.pool == spare_pool();
-        item.kept_empty = off || m_empty_vms.contains(info.incarnation);
-        item.is_idle = off || quiet.contains(info.incarnation);
-        item.hosts_long_running = endless.contains(info.incarnation);
-        item.evacuating = m_asked_empty.contains(info.incarnation);
+        item.is_up = info.phase == platform::machine_phase::up && !m_moves.contains(name) &&
+                     !m_recently_ordered.contains(name);
+        item.in_maintenance =
+            info.phase == platform::machine_phase::maintenance || m_recently_ordered.contains(name);
+        const bool is_spare = info.pool == spare_pool();
+        item.kept_empty = is_spare || m_empty_vms.contains(info.incarnation);
+        item.is_idle = is_spare || idle_vms.contains(info.incarnation);
+        item.hosts_long_running = long_running_vms.contains(info.incarnation);
+        item.evacuating = m_vms_asked_to_clear.contains(info.incarnation);
         view[name] = std::move(item);
     }
     return view;
 }
 
 void fleet_task::plan_waves() {
-    const std::map<std::string, jobs::wave_machine> view = upkeep_view();
+    const std::map<std::string, jobs::wave_machine> view = maintenance_view();
     for (auto& [number, item] : m_waves) {
         if (item.completed || !item.loaded) {
             continue;
         }
-        if (!item.told_running) {
-            item.told_running = true;
-            tell(number, false);
+        if (!item.running_reported) {
+            item.running_reported = true;
+            report_wave_status(number, false);
         }
         const jobs::wave_step step =
-            jobs::plan_wave(item.state, view, m_parts.settings.maintenance_time, event_loop::now());
+            jobs::plan_wave(item.state, view, m_context.settings.maintenance_time, event_loop::now());
         for (const std::string& machine : step.to_evacuate) {
             const platform::machine_info& info = m_machines[machine];
-            m_clear.add(info.pool, info.incarnation);
+            m_vms_to_clear.add(info.pool, info.incarnation);
         }
         for (const std::string& machine : step.to_maintain) {
-            plan_upkeep(item, machine);
+            plan_maintenance(item, machine);
         }
         if (step.completed) {
             item.completed = true;
             log_event(event_id::wave_completed, {{"wave", number}, {"machines", item.state.machines.size()}});
-            tell(number, true);
+            report_wave_status(number, true);
         }
     }
 }
 
-void fleet_task::load(std::int64_t number) {
+void fleet_task::load_wave(std::int64_t number) {
     wave& item = m_waves[number];
     if (item.reading) {
         return;
     }
     item.reading = true;
-    m_parts.store.get(wave_record_key(number),
-                      [this, number, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
-                          if (!alive.expired()) {
-                              loaded(number, answer);
-                          }
-                      });
+    m_context.store.get(wave_record_key(number), [this, number, alive = m_lifetime.weak_token()](
+                                                     const platform::store_answer& answer) {
+        if (!alive.expired()) {
+            on_wave_loaded(number, answer);
+        }
+    });
 }
 
-void fleet_task::loaded(std::int64_t number, const platform::store_answer& answer) {
+void fleet_task::on_wave_loaded(std::int64_t number, const platform::store_answer& answer) {
     wave& item = m_waves[number];
     item.reading = false;
     if (answer.status == platform::store_status::absent) {
         item.loaded = true; // Nobody has begun it.
-        const auto wanted = m_parts.configuration.waves().find(number);
-        if (wanted != m_parts.configuration.waves().end()) {
+        const auto wanted = m_context.configuration.waves().find(number);
+        if (wanted != m_context.configuration.waves().end()) {
             item.state.due_at = event_loop::now() + wanted->second.duration;
         }
     } else if (answer.status == platform::store_status::ok && !answer.items.empty()) {
@@ -97,30 +98,30 @@
     }
 }
 
-void fleet_task::plan_upkeep(wave& item, const std::string& machine) {
+void fleet_task::plan_maintenance(wave& item, const std::string& machine) {
     const std::int64_t number = item.state.number;
     item.state.pending[machine] = {m_machines[machine].incarnation, event_loop::now()};
-    m_planned.push_back({machine, [this, number, machine] { order_upkeep(number, machine); },
+    m_planned.push_back({machine, [this, number, machine] { order_maintenance(number, machine); },
                          [this, number, machine] { m_waves[number].state.pending.erase(machine); }});
 }
 
-void fleet_task::order_upkeep(std::int64_t number, const std::string& machine) {
-    m_parts.machines.start_maintenance(
-        {m_parts.membership.self().id, m_held.token}, machine, number,
+void fleet_task::order_maintenance(std::int64_t number, const std::string& machine) {
+    m_context.machines.start_maintenance(
+        {m_context.membership.self().id, m_ownership.token}, machine, number,
         [this, number, machine, alive = m_lifetime.weak_token()](platform::machine_outcome outcome) {
             if (!alive.expired()) {
-                upkeep_ordered(number, machine, outcome);
+                on_maintenance_ordered(number, machine, outcome);
             }
         });
 }
 
-void fleet_task::upkeep_ordered(std::int64_t number, const std::string& machine,
-                                platform::machine_outcome outcome) {
+void fleet_task::on_maintenance_ordered(std::int64_t number, const std::string& machine,
+                                        platform::machine_outcome outcome) {
     log_event(event_id::machine_ordered, {{"order", "upkeep"},
                                           {"wave", number},
                                           {"machine", machine},
                                           {"outcome", name_of(outcome)},
-                                          {"token", m_held.token}});
+                                          {"token", m_ownership.token}});
     jobs::wave_state& state = m_waves[number].state;
     if (outcome == platform::machine_outcome::done) {
         if (const auto waiting = state.pending.find(machine); waiting != state.pending.end()) {
@@ -137,9 +138,9 @@
 /// which changes nothing but costs the clearing of a VM.
 void fleet_task::record_wave(const jobs::wave_state& state) {
     platform::store_transaction change;
-    change.conditions.push_back({owner_prefix + m_held.duty, m_held.token});
+    change.conditions.push_back({owner_prefix + m_ownership.duty, m_ownership.token});
     change.writes.push_back({wave_record_key(state.number), encode_archive(state.confirmed), 0});
-    m_parts.store.commit(change, [number = state.number](const platform::store_answer& answer) {
+    m_context.store.commit(change, [number = state.number](const platform::store_answer& answer) {
         if (answer.status != platform::store_status::ok) {
             log_event(event_id::machine_ordered,
                       {{"order", "record"}, {"wave", number}, {"outcome", "not-stored"}});
@@ -147,19 +148,19 @@
     });
 }
 
-void fleet_task::tell(std::int64_t number, bool completed) {
+void fleet_task::report_wave_status(std::int64_t number, bool completed) {
     platform::store_transaction change;
-    change.conditions.push_back({owner_prefix + m_held.duty, m_held.token});
+    change.conditions.push_back({owner_prefix + m_ownership.duty, m_ownership.token});
     change.writes.push_back({platform::wave_status_key(number), platform::encode_wave_status(completed), 0});
-    m_parts.store.commit(change, [this, number, completed,
-                                  alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
+    m_context.store.commit(change, [this, number, completed,
+                                    alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
         if (alive.expired() || answer.status == platform::store_status::ok) {
             return;
         }
         if (completed) {
             m_waves[number].completed = false; // Told again with the next round.
         } else {
-            m_waves[number].told_running = false;
+            m_waves[number].running_reported = false;
         }
     });
 }
--- a/node/fleet_moves.cpp
+++ b/node/fleet_moves.cpp
@@ -11,18 +11,18 @@
 
 /// Orders may come in a burst of what this time allows at the platform's rate: when a turn of demand begins,
 /// a dozen machines are asked for at once.
-constexpr double burst_s = 0.5;
+constexpr double order_burst_s = 0.5;
 /// A demand that is older than this is no longer acted on: a turn rises to several times a pool's room within
 /// a second.
-constexpr milliseconds demand_use = 1s;
+constexpr milliseconds max_demand_age = 1s;
 
 } // namespace
 
 std::vector<jobs::balance_machine> fleet_task::balance_view() const {
-    std::set<std::string> in_upkeep;
+    std::set<std::string> in_maintenance;
     for (const auto& [number, item] : m_waves) {
         for (const auto& [machine, pending] : item.state.pending) {
-            in_upkeep.insert(machine);
+            in_maintenance.insert(machine);
         }
     }
     std::vector<jobs::balance_machine> view;
@@ -38,8 +38,8 @@
         item.is_moving = info.phase == platform::machine_phase::moving;
         item.millicores = info.capacity.cpu_millicores;
         item.kept_empty = m_empty_vms.contains(info.incarnation);
-        item.is_reserved = in_upkeep.contains(name) || m_recent.contains(name) ||
-                           m_clear.contains(info.pool, info.incarnation);
+        item.is_reserved = in_maintenance.contains(name) || m_recently_ordered.contains(name) ||
+                           m_vms_to_clear.contains(info.pool, info.incarnation);
         if (const auto move = m_moves.find(name); move != m_moves.end()) {
             item.pool = move->second.pool;
             item.is_moving = true;
@@ -51,21 +51,21 @@
     return view;
 }
 
-void fleet_task::refill_orders() {
+void fleet_task::refill_order_budget() {
     const timestamp now = event_loop::now();
-    const double rate = m_parts.settings.machine_orders_per_s;
-    const double passed_s = static_cast<double>((now - m_orders_refilled_at).count()) / 1000.0;
-    m_orders_left = std::min(rate * burst_s, m_orders_left + rate * passed_s);
+    const double rate = m_context.settings.machine_orders_per_s;
+    const double elapsed_s = static_cast<double>((now - m_orders_refilled_at).count()) / 1000.0;
+    m_order_budget = std::min(rate * order_burst_s, m_order_budget + rate * elapsed_s);
     m_orders_refilled_at = now;
 }
 
 /// What the pools ask for. Where an owner has not answered in this round, its last answer counts: the pool in
 /// the peak of its turn has the busiest owner, and with answers after 250 ms it got no machine for as long as
 /// the peak lasted. A machine still leaves a pool only if its owner has said in this round that it is empty.
-std::map<std::string, jobs::pool_demand> fleet_task::known_demands() const {
+std::map<std::string, jobs::pool_demand> fleet_task::recent_demands() const {
     std::map<std::string, jobs::pool_demand> known = m_demands;
     for (const auto& [pool, latest] : m_latest_demands) {
-        if (event_loop::now() - latest.at <= demand_use) {
+        if (event_loop::now() - latest.received_at <= max_demand_age) {
             known.try_emplace(pool, latest.demand);
         }
     }
@@ -74,23 +74,23 @@
 
 void fleet_task::plan_moves() {
     const std::string spare = spare_pool();
-    const jobs::balance_plan wanted =
-        jobs::plan_balance(balance_view(), known_demands(), spare, {}, m_memory, event_loop::now());
-    m_unwanted_machines = wanted.unneeded_machines;
-    refill_orders();
-    for (const jobs::machine_move& move : wanted.moves) {
+    const jobs::balance_plan balance =
+        jobs::plan_balance(balance_view(), recent_demands(), spare, {}, m_balance_memory, event_loop::now());
+    m_surplus_machines = balance.unneeded_machines;
+    refill_order_budget();
+    for (const jobs::machine_move& move : balance.moves) {
         const platform::machine_info& info = m_machines[move.machine];
         if (info.pool != spare && !m_empty_vms.contains(info.incarnation)) {
-            m_clear.add(info.pool, info.incarnation);
-            m_again_at_once = true;
-        } else if (m_orders_left >= 1) {
-            m_orders_left -= 1;
+            m_vms_to_clear.add(info.pool, info.incarnation);
+            m_has_new_clear_request = true;
+        } else if (m_order_budget >= 1) {
+            m_order_budget -= 1;
             plan_move(move);
         }
     }
     for (const auto& [name, info] : m_machines) {
-        if (wanted.vms_to_evacuate.contains(info.incarnation)) {
-            m_clear.add(info.pool, info.incarnation);
+        if (balance.vms_to_evacuate.contains(info.incarnation)) {
+            m_vms_to_clear.add(info.pool, info.incarnation);
         }
     }
 }
@@ -98,31 +98,31 @@
 void fleet_task::plan_move(const jobs::machine_move& move) {
     const platform::machine_info& info = m_machines[move.machine];
     m_moves[move.machine] = {move.pool, info.incarnation, event_loop::now()};
-    m_clear.add(info.pool, info.incarnation);
+    m_vms_to_clear.add(info.pool, info.incarnation);
     m_planned.push_back(
         {move.machine, [this, move] { order_move(move); }, [this, move] { m_moves.erase(move.machine); }});
 }
 
 void fleet_task::order_move(const jobs::machine_move& move) {
-    m_parts.machines.move({m_parts.membership.self().id, m_held.token}, move.machine, move.pool,
-                          [this, move, kind = m_machines[move.machine].kind,
-                           alive = m_lifetime.weak_token()](platform::machine_outcome outcome) {
-                              if (!alive.expired()) {
-                                  move_ordered(move, kind, outcome);
-                              }
-                          });
+    m_context.machines.move({m_context.membership.self().id, m_ownership.token}, move.machine, move.pool,
+                            [this, move, kind = m_machines[move.machine].kind,
+                             alive = m_lifetime.weak_token()](platform::machine_outcome outcome) {
+                                if (!alive.expired()) {
+                                    on_move_ordered(move, kind, outcome);
+                                }
+                            });
 }
 
-void fleet_task::move_ordered(const jobs::machine_move& move, const std::string& kind,
-                              platform::machine_outcome outcome) {
+void fleet_task::on_move_ordered(const jobs::machine_move& move, const std::string& kind,
+                                 platform::machine_outcome outcome) {
     log_event(event_id::machine_ordered, {{"order", "move"},
                                           {"machine", move.machine},
                                           {"from", move.from},
                                           {"pool", move.pool},
                                           {"outcome", name_of(outcome)},
-                                          {"token", m_held.token}});
+                                          {"token", m_ownership.token}});
     if (outcome == platform::machine_outcome::invalid) {
-        m_memory.refused_kinds.emplace(kind, move.pool);
+        m_balance_memory.refused_kinds.emplace(kind, move.pool);
     }
     if (outcome != platform::machine_outcome::done && outcome != platform::machine_outcome::unknown) {
         m_moves.erase(move.machine);
--- a/node/fleet_orders.cpp
+++ b/node/fleet_orders.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 /// One lease serves the announcements of this long; a lease for each round would double the calls.
-constexpr milliseconds announcement_use = 1s;
+constexpr milliseconds announcement_lease_reuse = 1s;
 /// From the announcement to the order's arrival.
 constexpr milliseconds announcement_margin = 500ms;
 
 } // namespace
 
-void fleet_task::give_orders() {
+void fleet_task::send_orders() {
     if (m_planned.empty()) {
         return;
     }
@@ -24,68 +24,70 @@
     for (const planned_order& order : m_planned) {
         machines.push_back(order.machine);
     }
-    announce(machines, [this, orders = std::exchange(m_planned, {})](bool announced) {
+    announce_orders(machines, [this, orders = std::exchange(m_planned, {})](bool announced) {
         for (const planned_order& order : orders) {
-            announced&& may_order() ? order.give() : order.take_back();
+            announced&& may_order() ? order.send() : order.cancel();
         }
     });
 }
 
 /// The announcement lives under a lease of its own, so that it ends by itself when the quiet time has passed,
 /// also when its holder is gone.
-void fleet_task::announce(const std::vector<std::string>& machines, std::function<void(bool)> done) {
-    if (event_loop::now() - m_announcement_granted_at < announcement_use) {
+void fleet_task::announce_orders(const std::vector<std::string>& machines, std::function<void(bool)> done) {
+    if (event_loop::now() - m_announcement_granted_at < announcement_lease_reuse) {
         write_announcement(machines, done);
         return;
     }
-    const timestamp asked_at = event_loop::now();
-    m_parts.store.grant_lease(m_parts.settings.min_order_interval + announcement_use + announcement_margin,
-                              [this, machines, asked_at, done = std::move(done),
-                               alive = m_lifetime.weak_token()](const platform::lease_answer& answer) {
-                                  if (alive.expired()) {
-                                      return;
-                                  }
-                                  if (answer.status != platform::store_status::ok) {
-                                      done(false);
-                                      return;
-                                  }
-                                  m_announcement_lease = answer.lease;
-                                  m_announcement_granted_at = asked_at;
-                                  write_announcement(machines, done);
-                              });
+    const timestamp requested_at = event_loop::now();
+    m_context.store.grant_lease(m_context.settings.min_order_interval + announcement_lease_reuse +
+                                    announcement_margin,
+                                [this, machines, requested_at, done = std::move(done),
+                                 alive = m_lifetime.weak_token()](const platform::lease_answer& answer) {
+                                    if (alive.expired()) {
+                                        return;
+                                    }
+                                    if (answer.status != platform::store_status::ok) {
+                                        done(false);
+                                        return;
+                                    }
+                                    m_announcement_lease = answer.lease;
+                                    m_announcement_granted_at = requested_at;
+                                    write_announcement(machines, done);
+                                });
 }
 
 void fleet_task::write_announcement(const std::vector<std::string>& machines,
                                     const std::function<void(bool)>& done) {
     platform::store_transaction change;
-    change.conditions.push_back({owner_prefix + m_held.duty, m_held.token});
-    const std::string key =
-        announcement_prefix + std::to_string(m_held.token) + "-" + std::to_string(m_announcements++);
+    change.conditions.push_back({owner_prefix + m_ownership.duty, m_ownership.token});
+    const std::string key = announcement_prefix + std::to_string(m_ownership.token) + "-" +
+                            std::to_string(m_announcement_count++);
     change.writes.push_back({key, encode_archive(machines), m_announcement_lease});
-    m_parts.store.commit(change,
-                         [done, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
-                             if (!alive.expired()) {
-                                 done(answer.status == platform::store_status::ok);
-                             }
-                         });
+    m_context.store.commit(change,
+                           [done, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
+                               if (!alive.expired()) {
+                                   done(answer.status == platform::store_status::ok);
+                               }
+                           });
 }
 
 void fleet_task::read_announcements() {
-    m_parts.store.range(announcement_prefix, {},
-                        [this, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
-                            if (alive.expired() || answer.status != platform::store_status::ok) {
-                                return;
-                            }
-                            m_recent.clear();
-                            const std::string own = announcement_prefix + std::to_string(m_held.token) + "-";
-                            for (const platform::store_item& item : answer.items) {
-                                const auto machines = decode_archive<std::vector<std::string>>(item.value);
-                                if (machines && !item.key.starts_with(own)) {
-                                    m_recent.insert(machines.value().begin(), machines.value().end());
-                                }
-                            }
-                            m_recent_known = true;
-                        });
+    m_context.store.range(
+        announcement_prefix, {},
+        [this, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
+            if (alive.expired() || answer.status != platform::store_status::ok) {
+                return;
+            }
+            m_recently_ordered.clear();
+            const std::string own = announcement_prefix + std::to_string(m_ownership.token) + "-";
+            for (const platform::store_item& item : answer.items) {
+                const auto machines = decode_archive<std::vector<std::string>>(item.value);
+                if (machines && !item.key.starts_with(own)) {
+                    m_recently_ordered.insert(machines.value().begin(), machines.value().end());
+                }
+            }
+            m_recently_ordered_known = true;
+        });
 }
 
 } // namespace siskinpaddle::node
--- a/node/fleet_task.cpp
+++ b/node/fleet_task.cpp
@@ -13,36 +13,38 @@
 /// round costs one call of the platform and one of each owner.
 constexpr milliseconds round_interval = 160ms;
 /// A round goes on without the owners that have not answered by then.
-constexpr milliseconds answers_bound = 150ms;
+constexpr milliseconds answers_timeout = 150ms;
 /// Longest time that a round waits for the list of machines. A list takes some milliseconds, fifty times as
 /// long when the platform is slow, and several calls in a large fleet.
-constexpr milliseconds list_patience = 1s;
+constexpr milliseconds list_timeout = 1s;
 /// A VM that was asked for is ordered away in a round of its own, right after its owner could take it out of
 /// its record: one write to the store, 6 ms.
-constexpr milliseconds at_once = 15ms;
+constexpr milliseconds immediate_round_delay = 15ms;
 /// An order that has shown no effect for this long beyond the move's own time is forgotten; the list tells
 /// where the machine is.
-constexpr milliseconds move_patience = 2500ms;
+constexpr milliseconds move_margin = 2500ms;
 
 } // namespace
 
 fleet_task::fleet_task(context parts, const ownership& held)
-    : m_parts(std::move(parts)), m_held(held), m_timer(m_parts.loop.make_timer([this] { round(); })),
-      m_answers_bound(m_parts.loop.make_timer([this] { list_machines(); })),
-      m_recent_known(held.epoch == 0 || held.was_previous_owner) {}
+    : m_context(std::move(parts)), m_ownership(held),
+      m_timer(m_context.loop.make_timer([this] { run_round(); })),
+      m_answers_timer(m_context.loop.make_timer([this] { list_machines(); })),
+      m_recently_ordered_known(held.epoch == 0 || held.was_previous_owner) {}
 
 void fleet_task::start() {
-    round();
+    run_round();
 }
 
 bool fleet_task::may_order() const {
     // Machines check no fencing tokens, so only a claim that certainly stands will do.
     const timestamp now = event_loop::now();
-    return !m_stopped && m_recent_known && now < m_parts.membership.confirmed_until(m_held.duty);
+    return !m_stopped && m_recently_ordered_known &&
+           now < m_context.membership.confirmed_until(m_ownership.duty);
 }
 
 std::string fleet_task::spare_pool() const {
-    for (const jobs::pool_settings& pool : m_parts.configuration.current().pools) {
+    for (const jobs::pool_settings& pool : m_context.configuration.current().pools) {
         if (pool.is_spare) {
             return pool.name;
         }
@@ -52,62 +54,62 @@
 
 // --- A round ---
 
-void fleet_task::round() {
+void fleet_task::run_round() {
     if (m_stopped) {
         return;
     }
     m_timer->start(round_interval);
-    if (!m_recent_known || !m_recent.empty()) {
+    if (!m_recently_ordered_known || !m_recently_ordered.empty()) {
         read_announcements();
     }
     if (!may_order()) {
         return;
     }
-    for (const auto& [number, wanted] : m_parts.configuration.waves()) {
+    for (const auto& [number, wanted] : m_context.configuration.waves()) {
         wave& item = m_waves[number];
         item.state.number = number;
         item.state.machines = wanted.machines;
         item.state.max_concurrent = wanted.max_concurrent;
         if (!item.loaded) {
-            load(number);
+            load_wave(number);
         }
     }
-    ask_pools();
+    query_demands();
 }
 
-std::size_t fleet_task::arriving(const std::string& pool) const {
+std::size_t fleet_task::count_arriving(const std::string& pool) const {
     return static_cast<std::size_t>(
         std::ranges::count_if(m_moves, [&](const auto& item) { return item.second.pool == pool; }));
 }
 
-void fleet_task::ask_pools() {
+void fleet_task::query_demands() {
     ++m_round;
     m_round_began_at = event_loop::now();
     m_demands.clear();
     m_empty_vms.clear();
-    const std::vector<std::string> pools = m_parts.configuration.current().pools_with_queues();
+    const std::vector<std::string> pools = m_context.configuration.current().pools_with_queues();
     m_unanswered = {pools.begin(), pools.end()};
-    m_answers_bound->start(answers_bound);
+    m_answers_timer->start(answers_timeout);
     for (const std::string& pool : pools) {
         peer_request request;
         request.kind = static_cast<std::uint8_t>(peer_request_kind::demand_query);
         request.pool = pool;
-        request.configuration_version = m_parts.configuration.current().version;
-        request.arriving_vms = arriving(pool);
-        request.obtainable_machines = m_unwanted_machines;
-        const std::set<std::string> kept_empty = m_clear.vms_of_pool(pool);
+        request.configuration_version = m_context.configuration.current().version;
+        request.arriving_vms = count_arriving(pool);
+        request.obtainable_machines = m_surplus_machines;
+        const std::set<std::string> kept_empty = m_vms_to_clear.vms_of_pool(pool);
         request.vms_to_empty.assign(kept_empty.begin(), kept_empty.end());
-        m_parts.ask_pool(request, [this, pool, kept_empty, round = m_round,
-                                   alive = m_lifetime.weak_token()](const peer_answer& answer) {
+        m_context.ask_pool(request, [this, pool, kept_empty, round = m_round,
+                                     alive = m_lifetime.weak_token()](const peer_answer& answer) {
             if (!alive.expired()) {
-                pool_answered(pool, kept_empty, round, answer);
+                on_demand_answered(pool, kept_empty, round, answer);
             }
         });
     }
 }
 
-void fleet_task::pool_answered(const std::string& pool, const std::set<std::string>& kept_empty,
-                               std::uint64_t round, const peer_answer& answer) {
+void fleet_task::on_demand_answered(const std::string& pool, const std::set<std::string>& kept_empty,
+                                    std::uint64_t round, const peer_answer& answer) {
     if (outcome_of(answer) != peer_outcome::ok) {
         return;
     }
@@ -122,7 +124,7 @@
         }
     }
     if (m_unanswered.erase(pool) > 0 && m_unanswered.empty()) {
-        m_answers_bound->cancel();
+        m_answers_timer->cancel();
         list_machines();
     }
 }
@@ -131,8 +133,8 @@
 /// dead a round waits for its answer for almost the whole interval, the list came after the next round had
 /// begun and was dropped, and no pool got a machine until that owner was replaced, 2.2 s later.
 void fleet_task::list_machines() {
-    m_timer->start(list_patience);
-    m_parts.machines.list(
+    m_timer->start(list_timeout);
+    m_context.machines.list(
         [this, round = m_round, alive = m_lifetime.weak_token()](const platform::machine_list& list) {
             if (alive.expired() || round != m_round || m_stopped) {
                 return;
@@ -142,20 +144,20 @@
                 log_event(event_id::machines_unknown, {{"round", round}});
                 return;
             }
-            take_machines(list);
+            update_machines(list);
             plan();
         });
 }
 
-void fleet_task::take_machines(const platform::machine_list& list) {
+void fleet_task::update_machines(const platform::machine_list& list) {
     m_machines.clear();
     for (const platform::machine_info& info : list.machines) {
         m_machines[info.machine] = info;
     }
-    settle_moves();
+    remove_finished_moves();
 }
 
-void fleet_task::settle_moves() {
+void fleet_task::remove_finished_moves() {
     const timestamp now = event_loop::now();
     std::erase_if(m_moves, [&](const auto& item) {
         const auto found = m_machines.find(item.first);
@@ -164,19 +166,19 @@
         }
         const platform::machine_info& info = found->second;
         const bool arrived = info.pool == item.second.pool && info.phase == platform::machine_phase::up &&
-                             (info.incarnation != item.second.vm_before || info.incarnation.empty());
-        return arrived || now - item.second.ordered_at > m_parts.settings.move_time + move_patience;
+                             (info.incarnation != item.second.previous_vm || info.incarnation.empty());
+        return arrived || now - item.second.ordered_at > m_context.settings.move_time + move_margin;
     });
 }
 
 void fleet_task::plan() {
-    m_asked_empty = m_clear.all_vms();
-    m_clear.clear();
-    m_again_at_once = false;
+    m_vms_asked_to_clear = m_vms_to_clear.all_vms();
+    m_vms_to_clear.clear();
+    m_has_new_clear_request = false;
     for (const auto& [machine, move] : m_moves) {
         if (const auto found = m_machines.find(machine); found != m_machines.end()) {
             // The order may not have been carried out yet.
-            m_clear.add(found->second.pool, move.vm_before);
+            m_vms_to_clear.add(found->second.pool, move.previous_vm);
         }
     }
     if (!may_order()) {
@@ -184,9 +186,9 @@
     }
     plan_waves();
     plan_moves();
-    give_orders();
-    if (m_again_at_once) {
-        m_timer->start(at_once);
+    send_orders();
+    if (m_has_new_clear_request) {
+        m_timer->start(immediate_round_delay);
     }
 }
 
--- a/node/fleet_task.hpp
+++ b/node/fleet_task.hpp
@@ -36,7 +36,7 @@
     fleet_task(context parts, const ownership& held);
 
     void start();
-    void renew_token(const ownership& held) { m_held = held; }
+    void renew_token(const ownership& held) { m_ownership = held; }
     void stop() { m_stopped = true; }
 
   private:
@@ -44,55 +44,56 @@
         jobs::wave_state state;
         bool loaded = false;
         bool reading = false;
-        bool told_running = false;
+        bool running_reported = false;
         bool completed = false;
     };
     /// A machine that was ordered into another pool and is not known to work there.
     struct pending_move {
         std::string pool;
-        std::string vm_before;
+        std::string previous_vm;
         timestamp ordered_at{0};
     };
 
-    void round();
-    void ask_pools();
-    void pool_answered(const std::string& pool, const std::set<std::string>& kept_empty, std::uint64_t round,
-                       const peer_answer& answer);
+    void run_round();
+    void query_demands();
+    void on_demand_answered(const std::string& pool, const std::set<std::string>& kept_empty,
+                            std::uint64_t round, const peer_answer& answer);
     void list_machines();
-    void take_machines(const platform::machine_list& list);
-    void settle_moves();
+    void update_machines(const platform::machine_list& list);
+    void remove_finished_moves();
     void plan();
     void plan_waves();
     void plan_moves();
-    void refill_orders();
+    void refill_order_budget();
     [[nodiscard]] std::vector<jobs::balance_machine> balance_view() const;
-    [[nodiscard]] std::map<std::string, jobs::wave_machine> upkeep_view() const;
+    [[nodiscard]] std::map<std::string, jobs::wave_machine> maintenance_view() const;
     [[nodiscard]] std::string spare_pool() const;
-    [[nodiscard]] std::size_t arriving(const std::string& pool) const;
+    [[nodiscard]] std::size_t count_arriving(const std::string& pool) const;
 
-    void give_orders();
-    void announce(const std::vector<std::string>& machines, std::function<void(bool)> done);
+    void send_orders();
+    void announce_orders(const std::vector<std::string>& machines, std::function<void(bool)> done);
     void write_announcement(const std::vector<std::string>& machines, const std::function<void(bool)>& done);
     void read_announcements();
 
-    void load(std::int64_t number);
-    void loaded(std::int64_t number, const platform::store_answer& answer);
-    void plan_upkeep(wave& item, const std::string& machine);
-    void order_upkeep(std::int64_t number, const std::string& machine);
-    void upkeep_ordered(std::int64_t number, const std::string& machine, platform::machine_outcome outcome);
+    void load_wave(std::int64_t number);
+    void on_wave_loaded(std::int64_t number, const platform::store_answer& answer);
+    void plan_maintenance(wave& item, const std::string& machine);
+    void order_maintenance(std::int64_t number, const std::string& machine);
+    void on_maintenance_ordered(std::int64_t number, const std::string& machine,
+                                platform::machine_outcome outcome);
     void record_wave(const jobs::wave_state& state);
     void plan_move(const jobs::machine_move& move);
-    [[nodiscard]] std::map<std::string, jobs::pool_demand> known_demands() const;
+    [[nodiscard]] std::map<std::string, jobs::pool_demand> recent_demands() const;
     void order_move(const jobs::machine_move& move);
-    void move_ordered(const jobs::machine_move& move, const std::string& kind,
-                      platform::machine_outcome outcome);
-    void tell(std::int64_t number, bool completed);
+    void on_move_ordered(const jobs::machine_move& move, const std::string& kind,
+                         platform::machine_outcome outcome);
+    void report_wave_status(std::int64_t number, bool completed);
     [[nodiscard]] bool may_order() const;
 
-    context m_parts;
-    ownership m_held;
+    context m_context;
+    ownership m_ownership;
     std::unique_ptr<timer> m_timer;
-    std::unique_ptr<timer> m_answers_bound;
+    std::unique_ptr<timer> m_answers_timer;
 
     std::uint64_t m_round = 0;
     timestamp m_round_began_at{0};
@@ -100,34 +101,36 @@
     std::map<std::string, jobs::pool_demand> m_demands; ///< As answered in this round.
     struct latest_demand {
         jobs::pool_demand demand;
-        timestamp at{0};
+        timestamp received_at{0};
     };
     std::map<std::string, latest_demand> m_latest_demands; ///< As last answered, in whatever round.
     std::set<std::string> m_empty_vms;                     ///< Kept empty by their owners as of this round.
     std::map<std::string, platform::machine_info> m_machines;
-    bool m_again_at_once = false; ///< A VM was newly asked for: the next round can order it away.
+    bool m_has_new_clear_request = false; ///< A VM was newly asked for: the next round can order it away.
 
     /// An order that is planned and not yet announced.
     struct planned_order {
         std::string machine;
-        std::function<void()> give;
-        std::function<void()> take_back;
+        std::function<void()> send;
+        std::function<void()> cancel;
     };
     std::vector<planned_order> m_planned;
-    double m_orders_left = 0; ///< At the platform's rate.
+    double m_order_budget = 0; ///< At the platform's rate.
     timestamp m_orders_refilled_at{0};
     std::int64_t m_announcement_lease = 0;
     timestamp m_announcement_granted_at{0};
-    std::uint64_t m_announcements = 0;
-    std::set<std::string> m_recent; ///< Machines that another holder may have ordered within the quiet time.
-    bool m_recent_known = false;    ///< The other holder's announcements were read.
+    std::uint64_t m_announcement_count = 0;
+    std::set<std::string>
+        m_recently_ordered; ///< Machines that another holder may have ordered within the quiet time.
+    bool m_recently_ordered_known = false; ///< The other holder's announcements were read.
 
     std::map<std::int64_t, wave> m_waves;
-    std::set<std::string> m_asked_empty; ///< VMs that their owners were asked to empty in the last round.
-    jobs::evacuation_list m_clear;       ///< VMs that their owners are to keep empty.
+    std::set<std::string>
+        m_vms_asked_to_clear;             ///< VMs that their owners were asked to empty in the last round.
+    jobs::evacuation_list m_vms_to_clear; ///< VMs that their owners are to keep empty.
     std::map<std::string, pending_move> m_moves; ///< By machine.
-    jobs::balance_state m_memory;
-    std::size_t m_unwanted_machines = 0; ///< As of the last plan.
+    jobs::balance_state m_balance_memory;
+    std::size_t m_surplus_machines = 0; ///< As of the last plan.
     bool m_stopped = false;
     lifetime m_lifetime;
 };
--- a/node/keys.hpp
+++ b/node/keys.hpp
@@ -21,7 +21,7 @@
 inline const std::string control_prefix = "sp/ctl/";
 inline const std::string node_prefix = "sp/ctl/node/";
 inline const std::string owner_prefix = "sp/ctl/own/";
-inline const std::string alive_prefix = "sp/ctl/live/";
+inline const std::string liveness_prefix = "sp/ctl/live/";
 
 [[nodiscard]] inline std::string job_prefix(const std::string& pool) {
     return "sp/job/" + pool + "/";
--- a/node/membership_task.cpp
+++ b/node/membership_task.cpp
@@ -188,8 +188,8 @@
         }
     } else if (item.key.starts_with(owner_prefix)) {
         apply_owner(item.key.substr(owner_prefix.size()), item);
-    } else if (item.key.starts_with(alive_prefix)) {
-        const std::string duty = item.key.substr(alive_prefix.size());
+    } else if (item.key.starts_with(liveness_prefix)) {
+        const std::string duty = item.key.substr(liveness_prefix.size());
         if (item.deleted) {
             m_live_keys.erase(duty);
         } else {
@@ -316,9 +316,9 @@
     platform::store_transaction change;
     change.conditions.push_back({owner_prefix + duty, m_owner_revisions[duty]});
     change.conditions.push_back(
-        {alive_prefix + duty, alive == m_live_keys.end() ? 0 : alive->second.revision});
+        {liveness_prefix + duty, alive == m_live_keys.end() ? 0 : alive->second.revision});
     change.writes.push_back({owner_prefix + duty, encode_archive(record), 0});
-    change.writes.push_back({alive_prefix + duty, m_self.id, m_lease});
+    change.writes.push_back({liveness_prefix + duty, m_self.id, m_lease});
     m_pending_claims.insert(duty);
     log_event(event_id::duty_claimed, {{"duty", duty},
                                        {"epoch", record.epoch},
@@ -371,8 +371,8 @@
     if (alive == m_live_keys.end()) {
         return;
     }
-    change.conditions.push_back({alive_prefix + duty, alive->second.revision});
-    change.removals.push_back(alive_prefix + duty);
+    change.conditions.push_back({liveness_prefix + duty, alive->second.revision});
+    change.removals.push_back(liveness_prefix + duty);
     m_store.commit(change, [](const platform::store_answer&) {});
 }
 
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -212,7 +212,7 @@
     flush_event_log();
     m_ingress.answer_stalled_submits();
     for (const auto& [duty, task] : m_pools) {
-        task->answer_for_silence();
+        task->answer_stalled_submits();
     }
     const bool is_ready = ready();
     m_ingress.set_connection_shedding(!is_ready);
@@ -250,7 +250,7 @@
     }
     for (const auto& [duty, task] : m_pools) {
         ++m_stopping_pools;
-        task->wind_down([this, duty = duty] {
+        task->shut_down([this, duty = duty] {
             --m_stopping_pools;
             m_membership.release(duty);
         });
--- a/node/pool_inbox.cpp
+++ b/node/pool_inbox.cpp
@@ -9,37 +9,37 @@
 namespace {
 
 /// Entries of a transaction that taking one job needs: a condition, a write and a removal.
-constexpr std::size_t entries_each = 3;
+constexpr std::size_t entries_per_job = 3;
 /// Jobs that one transaction takes, beside its condition on the owner.
-constexpr std::size_t jobs_at_once = (platform::max_transaction_entries - 1) / entries_each;
+constexpr std::size_t max_jobs_per_write = (platform::max_transaction_entries - 1) / entries_per_job;
 /// Transactions on their way, so that one without an answer does not hold the others up for its timeout, and
 /// a full inbox does not use up the store's rate at once.
-constexpr std::size_t most_writes = 4;
+constexpr std::size_t max_writes_in_flight = 4;
 constexpr milliseconds write_retry = 300ms;
 
 } // namespace
 
-void pool_task::take_inbox_cancel(const platform::store_item& item) {
+void pool_task::process_inbox_cancel(const platform::store_item& item) {
     if (item.deleted) {
         return;
     }
-    if (m_lost) {
-        m_inbox_again.push_back(item); // For when a new claim of our own has succeeded.
+    if (m_ownership_lost) {
+        m_unresolved_inbox_cancels.push_back(item); // For when a new claim of our own has succeeded.
         return;
     }
     peer_request request;
     request.job = item.key.substr(cancel_key(m_pool, "").size());
     cancel(request, [this, item](const peer_answer& answer) {
         if (outcome_of(answer) == peer_outcome::ok) {
-            remove_inbox(item.key);
+            remove_from_inbox(item.key);
         } else {
-            m_inbox_again.push_back(item); // Its submit may still be on the way here.
+            m_unresolved_inbox_cancels.push_back(item); // Its submit may still be on the way here.
         }
     });
 }
 
 /// From here on the owner answers for the job, also before it has taken it.
-void pool_task::take_inbox_submit(const platform::store_item& item) {
+void pool_task::process_inbox_submit(const platform::store_item& item) {
     if (item.deleted) {
         return;
     }
@@ -47,7 +47,7 @@
     const auto record = decode_archive<jobs::job_record>(item.value);
     if (!record) {
         log_event(event_id::run_noted, {{"what", "inbox-damaged"}, {"key", item.key}});
-        remove_inbox(item.key);
+        remove_from_inbox(item.key);
         return;
     }
     // Its client was told that it is accepted, so it is taken whatever the load.
@@ -59,9 +59,9 @@
 
 /// Takes jobs out of the inbox, several in a transaction: each one by itself, a full inbox costs a busy owner
 /// and the store's rate more than the jobs do, and it lasts for seconds.
-void pool_task::take_inbox_jobs() {
-    while (!m_lost && m_inbox_writes < most_writes) {
-        const std::vector<std::string> batch = next_inbox_jobs();
+void pool_task::transfer_inbox_jobs() {
+    while (!m_ownership_lost && m_inbox_writes_in_flight < max_writes_in_flight) {
+        const std::vector<std::string> batch = select_inbox_jobs();
         if (batch.empty()) {
             return;
         }
@@ -75,44 +75,46 @@
             change.writes.push_back({job_prefix(m_pool) + job, encode_archive(item.record), 0});
             change.removals.push_back(item.key);
         }
-        ++m_inbox_writes;
-        m_parts.store.commit(change, [this, batch, token = m_held.token,
-                                      alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
-            if (!alive.expired()) {
-                inbox_jobs_written(batch, answer, token);
-            }
-        });
+        ++m_inbox_writes_in_flight;
+        m_context.store.commit(change,
+                               [this, batch, token = m_ownership.token,
+                                alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
+                                   if (!alive.expired()) {
+                                       on_inbox_jobs_written(batch, answer, token);
+                                   }
+                               });
     }
 }
 
 /// The next jobs to take. Those that came here another way as well are only taken out of the inbox; one whose
 /// record is being written for such a submit waits for that, or its job could end before it is written again.
-std::vector<std::string> pool_task::next_inbox_jobs() {
+std::vector<std::string> pool_task::select_inbox_jobs() {
     std::vector<std::string> batch;
-    for (auto place = m_inbox_jobs.begin(); place != m_inbox_jobs.end() && batch.size() < jobs_at_once;) {
-        const auto& [job, item] = *place;
+    for (auto position = m_inbox_jobs.begin();
+         position != m_inbox_jobs.end() && batch.size() < max_jobs_per_write;) {
+        const auto& [job, item] = *position;
         if (item.writing || m_submitting.contains(job)) {
-            ++place;
+            ++position;
         } else if (m_scheduler.has_job(job) || m_ended.contains(job)) {
-            remove_inbox(item.key);
-            place = m_inbox_jobs.erase(place);
+            remove_from_inbox(item.key);
+            position = m_inbox_jobs.erase(position);
         } else {
             batch.push_back(job);
-            ++place;
+            ++position;
         }
     }
     return batch;
 }
 
-void pool_task::inbox_jobs_written(const std::vector<std::string>& batch,
-                                   const platform::store_answer& answer, std::int64_t token) {
-    --m_inbox_writes;
+void pool_task::on_inbox_jobs_written(const std::vector<std::string>& batch,
+                                      const platform::store_answer& answer, std::int64_t token) {
+    --m_inbox_writes_in_flight;
     const bool conflict = answer.status == platform::store_status::conflict;
-    const bool ours = conflict && revision_of(answer, owner_prefix + m_held.duty) == token;
-    if (conflict && !ours) {
-        ownership_lost("inbox", token);
+    const bool is_still_owner = conflict && revision_of(answer, owner_prefix + m_ownership.duty) == token;
+    if (conflict && !is_still_owner) {
+        on_ownership_lost("inbox", token);
     }
-    bool all_taken = true;
+    bool all_transferred = true;
     for (const std::string& job : batch) {
         const auto found = m_inbox_jobs.find(job);
         if (found == m_inbox_jobs.end()) {
@@ -120,7 +122,7 @@
         }
         inbox_job& item = found->second;
         // Only the owner takes requests away: an earlier write of ours was carried out after all.
-        const bool carried_out = ours && revision_of(answer, item.key) != item.revision;
+        const bool carried_out = is_still_owner && revision_of(answer, item.key) != item.revision;
         if (answer.status == platform::store_status::ok || carried_out) {
             add_job(item.record, accepted_at(item.record.accepted_ms));
             m_inbox_jobs.erase(found);
@@ -128,11 +130,11 @@
             // Also after a conflict: it may have been sent under a token that a new claim of our own has
             // replaced, and nobody else would take the request before the next owner.
             item.writing = false;
-            all_taken = false;
+            all_transferred = false;
         }
     }
-    m_inbox_timer->start(all_taken ? 0ms : write_retry);
-    decide_soon();
+    m_inbox_timer->start(all_transferred ? 0ms : write_retry);
+    schedule_decision();
 }
 
 void pool_task::add_job(const jobs::job_record& record, timestamp accepted) {
@@ -146,7 +148,7 @@
     }
 }
 
-std::size_t pool_task::waiting_in_inbox(const std::string& queue) const {
+std::size_t pool_task::count_waiting_in_inbox(const std::string& queue) const {
     return static_cast<std::size_t>(std::ranges::count_if(m_inbox_jobs, [&](const auto& item) {
         const auto& [job, left] = item;
         return left.record.spec.queue == queue && !m_scheduler.has_job(job) && !m_ended.contains(job);
@@ -157,11 +159,11 @@
     return event_loop::now() - m_inbox.complete_until();
 }
 
-void pool_task::remove_inbox(const std::string& key) {
+void pool_task::remove_from_inbox(const std::string& key) {
     platform::store_transaction change;
     change.conditions.push_back(owner_condition());
     change.removals.push_back(key);
-    m_parts.store.commit(change, [](const platform::store_answer&) {});
+    m_context.store.commit(change, [](const platform::store_answer&) {});
 }
 
 } // namespace siskinpaddle::node
--- a/node/pool_renewals.cpp
+++ b/node/pool_renewals.cpp
@@ -10,90 +10,91 @@
 /// lease of six seconds always has four left when its owner dies.
 constexpr milliseconds renewal_wait = 1500ms;
 /// Where runs may disturb each other, are not at work yet, or several soon end.
-constexpr milliseconds close_look_wait = 400ms;
+constexpr milliseconds frequent_renewal_wait = 400ms;
 constexpr milliseconds renewal_retry = 150ms;
-constexpr milliseconds longest_retry = 600ms;
+constexpr milliseconds max_renewal_retry = 600ms;
 /// While the owner may not act.
 constexpr milliseconds paused_retry = 250ms;
 
 } // namespace
 
-void pool_task::renew_later(const std::string& vm, milliseconds pause) {
-    vm_link& link = m_links[vm];
-    if (link.pause == nullptr) {
-        link.pause = m_parts.loop.make_timer([this, vm] { renew(vm); });
+void pool_task::schedule_renewal(const std::string& vm, milliseconds pause) {
+    vm_renewal& renewal = m_renewals[vm];
+    if (renewal.delay_timer == nullptr) {
+        renewal.delay_timer = m_context.loop.make_timer([this, vm] { renew_lease(vm); });
     }
-    link.pause->start(pause);
+    renewal.delay_timer->start(pause);
 }
 
-void pool_task::renew(const std::string& vm) {
+void pool_task::renew_lease(const std::string& vm) {
     const auto known = m_scheduler.vms().find(vm);
     if (known == m_scheduler.vms().end()) {
-        m_parts.loop.post([this, vm, alive = m_lifetime.weak_token()] {
+        m_context.loop.post([this, vm, alive = m_lifetime.weak_token()] {
             if (!alive.expired() && !m_scheduler.vms().contains(vm)) {
-                m_links.erase(vm); // Not from inside its own timer.
+                m_renewals.erase(vm); // Not from inside its own timer.
             }
         });
         return;
     }
-    vm_link& link = m_links[vm];
-    if (link.renewing) {
+    vm_renewal& renewal = m_renewals[vm];
+    if (renewal.renewing) {
         return;
     }
-    if (!may_act() || (m_winding_down && !m_scheduler.has_changes())) {
-        renew_later(vm, paused_retry);
+    if (!may_act() || (m_shutting_down && !m_scheduler.has_changes())) {
+        schedule_renewal(vm, paused_retry);
         return;
     }
     const jobs::vm_state& state = known->second;
     if (state.last_received_end > state.last_stored_end) {
-        link.waits_for_store = true;
+        renewal.waits_for_store = true;
         return;
     }
     if (!state.listed && state.has_no_runs() && state.has_responded()) {
-        renew_later(vm, longest_retry); // Nothing runs there: let its lease run out.
+        schedule_renewal(vm, max_renewal_retry); // Nothing runs there: let its lease run out.
         return;
     }
-    link.renewing = true;
+    renewal.renewing = true;
     milliseconds wait(0);
     if (state.has_responded() && state.reachable) {
-        wait = m_scheduler.needs_frequent_polling(vm) ? close_look_wait : renewal_wait;
+        wait = m_scheduler.needs_frequent_polling(vm) ? frequent_renewal_wait : renewal_wait;
     }
     const std::int64_t deadline = m_scheduler.grant_lease_renewal(vm, event_loop::now());
-    m_parts.vms.renew_lease(state.info(), m_held.token, deadline, state.last_stored_end, wait,
-                            [this, vm, token = m_held.token,
-                             alive = m_lifetime.weak_token()](const platform::renewal_answer& answer) {
-                                if (!alive.expired()) {
-                                    renewed(vm, answer, token);
-                                }
-                            });
+    m_context.vms.renew_lease(state.info(), m_ownership.token, deadline, state.last_stored_end, wait,
+                              [this, vm, token = m_ownership.token,
+                               alive = m_lifetime.weak_token()](const platform::renewal_answer& answer) {
+                                  if (!alive.expired()) {
+                                      on_lease_renewed(vm, answer, token);
+                                  }
+                              });
 }
 
-void pool_task::renewed(const std::string& vm, const platform::renewal_answer& answer, std::int64_t token) {
-    const auto link = m_links.find(vm);
-    if (link == m_links.end()) {
+void pool_task::on_lease_renewed(const std::string& vm, const platform::renewal_answer& answer,
+                                 std::int64_t token) {
+    const auto renewal = m_renewals.find(vm);
+    if (renewal == m_renewals.end()) {
         return;
     }
-    link->second.renewing = false;
+    renewal->second.renewing = false;
     const timestamp now = event_loop::now();
-    m_parts.counters.increment("renewals_" + std::string(name_of(answer.outcome)));
+    m_context.counters.increment("renewals_" + std::string(name_of(answer.outcome)));
     if (answer.outcome == jobs::order_outcome::accepted) {
-        if (link->second.failures > 0) {
+        if (renewal->second.failures > 0) {
             log_event(event_id::vm_reachable, {{"pool", m_pool}, {"vm", vm}});
         }
-        link->second.failures = 0;
+        renewal->second.failures = 0;
         m_scheduler.handle_report(vm, *answer.report, now);
-        if (!m_cleared_vms.contains(vm) && !m_record.may_contain(vm)) {
-            m_record_timer->start(0ms); // It had been silent and left the record.
+        if (!m_cleared_vms.contains(vm) && !m_vm_record.may_contain(vm)) {
+            m_vm_record_timer->start(0ms); // It had been silent and left the record.
         }
-        decide_soon();
-        renew(vm);
+        schedule_decision();
+        renew_lease(vm);
         return;
     }
     if (answer.outcome == jobs::order_outcome::wrong_incarnation) {
         m_scheduler.handle_vm_ended(vm, jobs::vm_end_cause::replaced, now);
     } else if (answer.outcome == jobs::order_outcome::refused_fenced) {
-        ownership_lost("fence", token);
-    } else if (link->second.failures++ == 0) {
+        on_ownership_lost("fence", token);
+    } else if (renewal->second.failures++ == 0) {
         const auto known = m_scheduler.vms().find(vm);
         log_event(event_id::vm_unreachable,
                   {{"pool", m_pool},
@@ -102,8 +103,8 @@
                    {"lapses_in_ms", (known->second.lease_expires_at() - now).count()}});
     }
     m_scheduler.handle_vm_unreachable(vm, now);
-    decide_soon();
-    renew_later(vm, std::min(longest_retry, renewal_retry * std::max(1, link->second.failures)));
+    schedule_decision();
+    schedule_renewal(vm, std::min(max_renewal_retry, renewal_retry * std::max(1, renewal->second.failures)));
 }
 
 } // namespace siskinpaddle::node
--- a/node/pool_requests.cpp
+++ b/node/pool_requests.cpp
@@ -5,7 +5,7 @@
 namespace siskinpaddle::node {
 
 void pool_task::handle(const peer_request& request, const reply& done) {
-    if (!m_ready || m_lost || m_winding_down) {
+    if (!m_ready || m_ownership_lost || m_shutting_down) {
         done(make_answer(peer_outcome::not_owner));
         return;
     }
@@ -23,7 +23,7 @@
         count(request, done);
         return;
     case peer_request_kind::demand_query:
-        fleet_look(request, done);
+        answer_demand_query(request, done);
         return;
     }
     done(make_answer(peer_outcome::unavailable));
@@ -50,24 +50,25 @@
 void pool_task::count(const peer_request& request, const reply& done) const {
     jobs::queue_count_inputs known;
     known.in_scheduler = m_scheduler.pending_jobs(request.queue);
-    known.unconfirmed = static_cast<std::size_t>(
-        std::ranges::count(m_unsettled_submits, request.queue, [](const auto& item) { return item.second; }));
-    known.in_inbox = waiting_in_inbox(request.queue);
+    known.unconfirmed = static_cast<std::size_t>(std::ranges::count(
+        m_unconfirmed_submits, request.queue, [](const auto& item) { return item.second; }));
+    known.in_inbox = count_waiting_in_inbox(request.queue);
     known.inbox_age = inbox_age();
-    const milliseconds certain = m_parts.membership.confirmed_until(m_held.duty) - event_loop::now();
-    known.is_confirmed_owner = certain > 0ms;
-    const std::optional<std::size_t> whole = jobs::complete_queue_count(known);
+    const milliseconds confirmed_for =
+        m_context.membership.confirmed_until(m_ownership.duty) - event_loop::now();
+    known.is_confirmed_owner = confirmed_for > 0ms;
+    const std::optional<std::size_t> complete_count = jobs::complete_queue_count(known);
     log_event(event_id::count_computed, {{"pool", m_pool},
                                          {"queue", request.queue},
-                                         {"told", static_cast<int>(whole.has_value())},
+                                         {"told", static_cast<int>(complete_count.has_value())},
                                          {"taken", known.in_scheduler},
                                          {"unsettled", known.unconfirmed},
                                          {"inbox", known.in_inbox},
                                          {"inbox_age_ms", known.inbox_age.count()},
-                                         {"certain_ms", certain.count()},
-                                         {"token", m_held.token}});
-    peer_answer answer = make_answer(whole ? peer_outcome::ok : peer_outcome::unavailable);
-    answer.count = whole.value_or(0);
+                                         {"certain_ms", confirmed_for.count()},
+                                         {"token", m_ownership.token}});
+    peer_answer answer = make_answer(complete_count ? peer_outcome::ok : peer_outcome::unavailable);
+    answer.count = complete_count.value_or(0);
     answer.inbox_age_ms = std::max<std::int64_t>(0, known.inbox_age.count());
     done(answer);
 }
@@ -86,14 +87,14 @@
     case jobs::cancel_outcome::cancelled:
         log_event(event_id::job_cancelled, {{"pool", m_pool}, {"job", id}});
         m_cancels.push_back({id, done});
-        settle_cancels();
-        decide_soon();
+        answer_stored_cancels();
+        schedule_decision();
         return;
     }
 }
 
 /// Answers the cancellings whose jobs' final phase is stored.
-void pool_task::settle_cancels() {
+void pool_task::answer_stored_cancels() {
     std::erase_if(m_cancels, [this](const waiting_cancel& item) {
         const jobs::job_state* job = m_scheduler.find_job(item.job);
         if (job != nullptr && !job->is_final_phase_stored) {
@@ -105,37 +106,37 @@
 }
 
 /// VMs that no longer need to be empty take work again, those that have left the record once it names them.
-void pool_task::use_again(const std::set<std::string>& vms) {
+void pool_task::uncordon_vms(const std::set<std::string>& vms) {
     for (const std::string& vm : vms) {
         if (m_cleared_vms.contains(vm)) {
             continue;
         }
-        if (m_record.contains(vm)) {
+        if (m_vm_record.contains(vm)) {
             m_scheduler.cordon(vm, false);
         } else {
-            m_record_timer->start(0ms);
+            m_vm_record_timer->start(0ms);
         }
     }
 }
 
-void pool_task::fleet_look(const peer_request& request, const reply& done) {
+void pool_task::answer_demand_query(const peer_request& request, const reply& done) {
     const std::set<std::string> wanted(request.vms_to_empty.begin(), request.vms_to_empty.end());
     const bool changed = wanted != m_cleared_vms;
-    const std::set<std::string> before = std::exchange(m_cleared_vms, wanted);
+    const std::set<std::string> previously_cleared = std::exchange(m_cleared_vms, wanted);
     for (const std::string& vm : wanted) {
         m_scheduler.cordon(vm, true);
     }
-    use_again(before);
+    uncordon_vms(previously_cleared);
     m_cleared_at = event_loop::now();
     m_scheduler.set_expected_vms(request.arriving_vms, request.obtainable_machines);
     m_directory.expect_changes(request.arriving_vms > 0);
     peer_answer answer = make_answer(peer_outcome::ok);
     answer.demand = m_scheduler.demand(event_loop::now());
     for (jobs::vm_load& vm : answer.demand.vms) {
-        vm.released = wanted.contains(vm.vm) && !m_record.may_contain(vm.vm);
+        vm.released = wanted.contains(vm.vm) && !m_vm_record.may_contain(vm.vm);
     }
     if (changed) {
-        decide_soon();
+        schedule_decision();
     }
     done(answer);
 }
--- a/node/pool_storing.cpp
+++ b/node/pool_storing.cpp
@@ -9,51 +9,51 @@
 namespace {
 
 /// Changes that nobody waits for are collected this long, so that many ends go into one write.
-constexpr milliseconds store_collect = 25ms;
+constexpr milliseconds store_coalesce_delay = 25ms;
 /// A job that ended has a client asking for it: nearly at once, but several at a time.
-constexpr milliseconds urgent_collect = 2ms;
+constexpr milliseconds urgent_coalesce_delay = 2ms;
 constexpr milliseconds store_retry = 120ms;
 /// Entries of a transaction that a job's progress takes: its write, and the condition on what it replaces.
 constexpr std::size_t progress_entries = 2;
 /// An ended job's record is removed as well.
 constexpr std::size_t ended_entries = progress_entries + 1;
 /// An ended job stays with the scheduler this long, for late reports on its runs.
-constexpr milliseconds ended_in_scheduler = 3s;
+constexpr milliseconds scheduler_retention = 3s;
 /// Requests in the inbox that could not be taken are tried again after this; a cancelling must work within
 /// three seconds.
 constexpr milliseconds inbox_retry = 300ms;
 /// Between two looks for ended jobs to forget.
-constexpr milliseconds forget_interval = 2s;
+constexpr milliseconds cleanup_interval = 2s;
 /// VMs that are kept empty for an upkeep go back to work if whoever asked for it is silent for this long.
-constexpr milliseconds cleared_bound = 6s;
+constexpr milliseconds cleared_timeout = 6s;
 
 } // namespace
 
-void pool_task::store_soon() {
+void pool_task::schedule_store() {
     const bool urgent = m_scheduler.has_urgent_changes();
-    if (m_storing || (m_store_planned && !(urgent && !m_store_urgent))) {
+    if (m_store_in_flight || (m_store_planned && !(urgent && !m_store_urgent))) {
         return;
     }
     m_store_planned = true;
     m_store_urgent = urgent;
-    m_store_timer->start(urgent ? urgent_collect : store_collect);
+    m_store_timer->start(urgent ? urgent_coalesce_delay : store_coalesce_delay);
 }
 
-void pool_task::store_round() {
+void pool_task::store_changes() {
     m_store_planned = false;
     m_store_urgent = false;
-    if (m_storing || m_lost || !m_scheduler.has_changes()) {
+    if (m_store_in_flight || m_ownership_lost || !m_scheduler.has_changes()) {
         return;
     }
-    m_storing = true;
-    m_round = m_scheduler.begin_store_batch();
-    m_chunks_open = 0;
-    m_round_good = true;
-    for (std::span<const std::string> left(m_round.jobs); !left.empty();) {
-        left = left.subspan(write_chunk(left));
+    m_store_in_flight = true;
+    m_store_round = m_scheduler.begin_store_batch();
+    m_chunks_in_flight = 0;
+    m_store_round_succeeded = true;
+    for (std::span<const std::string> remaining(m_store_round.jobs); !remaining.empty();) {
+        remaining = remaining.subspan(write_chunk(remaining));
     }
-    if (m_chunks_open == 0) {
-        round_done();
+    if (m_chunks_in_flight == 0) {
+        finish_store_round();
     }
 }
 
@@ -63,7 +63,7 @@
     change.conditions.push_back(owner_condition());
     std::vector<std::pair<std::string, std::uint64_t>> written;
     std::size_t free_entries = platform::max_transaction_entries - 1;
-    std::size_t dealt_with = 0;
+    std::size_t processed = 0;
     for (const std::string& id : jobs) {
         if (const jobs::job_state* job = m_scheduler.find_job(id)) {
             const bool ended = jobs::is_final(job->phase());
@@ -75,19 +75,19 @@
             add_progress(change, id, *job);
             written.emplace_back(id, job->change_count);
         }
-        ++dealt_with;
+        ++processed;
     }
     if (written.empty()) {
-        return dealt_with;
+        return processed;
     }
-    ++m_chunks_open;
-    m_parts.store.commit(change, [this, written, token = m_held.token,
-                                  alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
+    ++m_chunks_in_flight;
+    m_context.store.commit(change, [this, written, token = m_ownership.token,
+                                    alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
         if (!alive.expired()) {
-            chunk_written(written, answer, token);
+            on_chunk_written(written, answer, token);
         }
     });
-    return dealt_with;
+    return processed;
 }
 
 void pool_task::add_progress(platform::store_transaction& change, const std::string& id,
@@ -103,41 +103,41 @@
     }
 }
 
-void pool_task::note_progress_revision(const std::string& job, std::int64_t revision) {
+void pool_task::update_progress_revision(const std::string& job, std::int64_t revision) {
     if (m_scheduler.has_job(job)) {
         m_progress_revisions[job] = revision;
     }
 }
 
-void pool_task::chunk_written(const std::vector<std::pair<std::string, std::uint64_t>>& written,
-                              const platform::store_answer& answer, std::int64_t token) {
+void pool_task::on_chunk_written(const std::vector<std::pair<std::string, std::uint64_t>>& written,
+                                 const platform::store_answer& answer, std::int64_t token) {
     const bool stored = answer.status == platform::store_status::ok;
     if (stored) {
         for (const auto& [id, change] : written) {
-            note_progress_revision(id, answer.revision);
+            update_progress_revision(id, answer.revision);
             m_scheduler.mark_job_stored(id, change, event_loop::now());
             log_if_ended(id);
         }
     } else {
-        m_round_good = false;
+        m_store_round_succeeded = false;
         if (answer.status == platform::store_status::conflict) {
-            chunk_refused(written, answer, token);
+            on_chunk_refused(written, answer, token);
         }
     }
-    if (--m_chunks_open == 0) {
-        round_done();
+    if (--m_chunks_in_flight == 0) {
+        finish_store_round();
     }
 }
 
 /// Either the claim is over, or an earlier write of ours was carried out after all: the next round replaces
 /// what that one wrote.
-void pool_task::chunk_refused(const std::vector<std::pair<std::string, std::uint64_t>>& written,
-                              const platform::store_answer& answer, std::int64_t token) {
-    if (revision_of(answer, owner_prefix + m_held.duty) != token) {
-        ownership_lost("progress", token);
+void pool_task::on_chunk_refused(const std::vector<std::pair<std::string, std::uint64_t>>& written,
+                                 const platform::store_answer& answer, std::int64_t token) {
+    if (revision_of(answer, owner_prefix + m_ownership.duty) != token) {
+        on_ownership_lost("progress", token);
     }
     for (const auto& [id, change] : written) {
-        note_progress_revision(id, revision_of(answer, progress_prefix(m_pool) + id));
+        update_progress_revision(id, revision_of(answer, progress_prefix(m_pool) + id));
     }
 }
 
@@ -153,53 +153,53 @@
                                     {"chain_ms", job->critical_path_ms()}});
 }
 
-void pool_task::round_done() {
-    m_storing = false;
-    if (m_round_good) {
-        m_scheduler.mark_batch_stored(m_round);
+void pool_task::finish_store_round() {
+    m_store_in_flight = false;
+    if (m_store_round_succeeded) {
+        m_scheduler.mark_batch_stored(m_store_round);
     } else {
-        m_scheduler.mark_batch_failed(m_round);
+        m_scheduler.mark_batch_failed(m_store_round);
     }
-    settle_cancels();
-    for (auto& [vm, link] : m_links) {
-        if (std::exchange(link.waits_for_store, false)) {
-            renew_later(vm, milliseconds(0));
+    answer_stored_cancels();
+    for (auto& [vm, renewal] : m_renewals) {
+        if (std::exchange(renewal.waits_for_store, false)) {
+            schedule_renewal(vm, milliseconds(0));
         }
     }
-    if (m_scheduler.has_changes() && !m_lost) {
+    if (m_scheduler.has_changes() && !m_ownership_lost) {
         m_store_planned = true;
-        m_store_timer->start(m_round_good ? urgent_collect : store_retry);
-    } else if (m_wound_down) {
-        std::exchange(m_wound_down, {})();
+        m_store_timer->start(m_store_round_succeeded ? urgent_coalesce_delay : store_retry);
+    } else if (m_on_shut_down) {
+        std::exchange(m_on_shut_down, {})();
     }
 }
 
-void pool_task::wind_down(std::function<void()> done) {
-    m_winding_down = true;
-    m_wound_down = std::move(done);
-    if (!m_storing && !m_scheduler.has_changes()) {
-        std::exchange(m_wound_down, {})();
+void pool_task::shut_down(std::function<void()> done) {
+    m_shutting_down = true;
+    m_on_shut_down = std::move(done);
+    if (!m_store_in_flight && !m_scheduler.has_changes()) {
+        std::exchange(m_on_shut_down, {})();
     } else {
-        store_soon();
+        schedule_store();
     }
 }
 
-void pool_task::forget_old() {
+void pool_task::run_cleanup() {
     const timestamp now = event_loop::now();
-    if (now - m_inbox_tried_at >= inbox_retry) {
-        m_inbox_tried_at = now;
-        for (const platform::store_item& item : std::exchange(m_inbox_again, {})) {
-            take_inbox_cancel(item);
+    if (now - m_inbox_retried_at >= inbox_retry) {
+        m_inbox_retried_at = now;
+        for (const platform::store_item& item : std::exchange(m_unresolved_inbox_cancels, {})) {
+            process_inbox_cancel(item);
         }
     }
-    if (now - m_forgot_at < forget_interval) {
+    if (now - m_cleaned_up_at < cleanup_interval) {
         return;
     }
-    m_forgot_at = now;
-    if (!m_cleared_vms.empty() && now - m_cleared_at > cleared_bound) {
-        use_again(std::exchange(m_cleared_vms, {}));
+    m_cleaned_up_at = now;
+    if (!m_cleared_vms.empty() && now - m_cleared_at > cleared_timeout) {
+        uncordon_vms(std::exchange(m_cleared_vms, {}));
     }
-    for (const auto& [id, phase] : m_scheduler.remove_final_jobs(now, ended_in_scheduler)) {
+    for (const auto& [id, phase] : m_scheduler.remove_final_jobs(now, scheduler_retention)) {
         m_ended[id] = phase;
         m_ended_at[id] = now;
         m_progress_revisions.erase(id);
@@ -207,7 +207,7 @@
     platform::store_transaction change;
     change.conditions.push_back(owner_condition());
     for (const auto& [id, ended] : m_ended_at) {
-        if (now - ended > m_parts.settings.ended_job_retention &&
+        if (now - ended > m_context.settings.ended_job_retention &&
             change.removals.size() < platform::max_transaction_entries - 1) {
             change.removals.push_back(progress_prefix(m_pool) + id);
         }
@@ -218,7 +218,7 @@
         m_ended_at.erase(id);
     }
     if (!change.removals.empty()) {
-        m_parts.store.commit(change, [](const platform::store_answer&) {});
+        m_context.store.commit(change, [](const platform::store_answer&) {});
     }
 }
 
--- a/node/pool_submits.cpp
+++ b/node/pool_submits.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 /// Entries of a transaction that accepting one job needs: a condition and a write.
-constexpr std::size_t entries_each = 2;
+constexpr std::size_t entries_per_job = 2;
 /// Most jobs accepted by one transaction, beside its condition on the owner.
-constexpr std::size_t submits_at_once = (platform::max_transaction_entries - 1) / entries_each;
+constexpr std::size_t max_submits_per_write = (platform::max_transaction_entries - 1) / entries_per_job;
 constexpr milliseconds submit_retry = 120ms;
 /// Short: whoever comes back right after an outage can still be served within an objective of two seconds,
 /// and how long it lasts is not known.
@@ -29,14 +29,14 @@
         return;
     }
     if (m_submitting.contains(id)) {
-        if (store_is_unresponsive(m_parts.store, event_loop::now())) {
+        if (store_is_unresponsive(m_context.store, event_loop::now())) {
             done(make_answer(peer_outcome::unknown));
         } else {
-            m_submits_again.emplace(id, done);
+            m_repeated_submits.emplace(id, done);
         }
         return;
     }
-    if (store_is_failing(m_parts.store, event_loop::now())) {
+    if (store_is_failing(m_context.store, event_loop::now())) {
         peer_answer answer = make_answer(peer_outcome::unavailable);
         answer.retry_after_ms = retry_after_outage.count();
         log_event(event_id::submit_refused, {{"pool", m_pool}, {"job", id}, {"why", "store"}});
@@ -68,15 +68,15 @@
 }
 
 void pool_task::write_submits() {
-    if (m_lost || m_writing_submits) {
+    if (m_ownership_lost || m_writing_submits) {
         return;
     }
     std::vector<waiting_submit> batch;
     platform::store_transaction change;
     change.conditions.push_back(owner_condition());
-    const auto first_left =
-        m_submits.begin() + static_cast<std::ptrdiff_t>(std::min(submits_at_once, m_submits.size()));
-    for (auto waiting = m_submits.begin(); waiting != first_left; ++waiting) {
+    const auto batch_end =
+        m_submits.begin() + static_cast<std::ptrdiff_t>(std::min(max_submits_per_write, m_submits.size()));
+    for (auto waiting = m_submits.begin(); waiting != batch_end; ++waiting) {
         waiting_submit& item = *waiting;
         // A write that is carried out late must not bring back the record of a job that has ended: its
         // progress outlives it. While the job lasts, writing its record again changes nothing.
@@ -84,94 +84,95 @@
         change.writes.push_back({job_prefix(m_pool) + item.record.spec.id, encode_archive(item.record), 0});
         batch.push_back(std::move(item));
     }
-    m_submits.erase(m_submits.begin(), first_left);
+    m_submits.erase(m_submits.begin(), batch_end);
     if (batch.empty()) {
         return;
     }
     m_writing_submits = true;
     m_sent_submits = std::move(batch);
-    m_parts.store.commit(change, [this, token = m_held.token,
-                                  alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
+    m_context.store.commit(change, [this, token = m_ownership.token,
+                                    alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
         if (!alive.expired()) {
-            submits_written(std::exchange(m_sent_submits, {}), answer, token);
+            on_submits_written(std::exchange(m_sent_submits, {}), answer, token);
         }
     });
 }
 
-void pool_task::answer_for_silence() {
-    if (m_submitting.empty() || !store_is_unresponsive(m_parts.store, event_loop::now())) {
+void pool_task::answer_stalled_submits() {
+    if (m_submitting.empty() || !store_is_unresponsive(m_context.store, event_loop::now())) {
         return;
     }
     for (waiting_submit& item : m_sent_submits) {
-        m_unsettled_submits.emplace(item.record.spec.id, item.record.spec.queue);
+        m_unconfirmed_submits.emplace(item.record.spec.id, item.record.spec.queue);
     }
     for (auto* list : {&m_sent_submits, &m_submits}) {
         for (waiting_submit& item : *list) {
             const std::string& id = item.record.spec.id;
-            if (m_unsettled_submits.contains(id)) {
+            if (m_unconfirmed_submits.contains(id)) {
                 answer_submit(id, std::exchange(item.done, [](const peer_answer&) {}), peer_outcome::unknown);
             } else {
                 log_event(event_id::submit_refused, {{"pool", m_pool}, {"job", id}, {"why", "store"}});
-                settle_submit(id, item.done, peer_outcome::unavailable);
+                finish_submit(id, item.done, peer_outcome::unavailable);
             }
         }
     }
     std::erase_if(m_submits, [this](const waiting_submit& item) {
-        return !m_unsettled_submits.contains(item.record.spec.id);
+        return !m_unconfirmed_submits.contains(item.record.spec.id);
     });
 }
 
-void pool_task::settle_submit(const std::string& job, const reply& done, peer_outcome outcome) {
+void pool_task::finish_submit(const std::string& job, const reply& done, peer_outcome outcome) {
     m_submitting.erase(job);
-    m_unsettled_submits.erase(job);
+    m_unconfirmed_submits.erase(job);
     answer_submit(job, done, outcome);
 }
 
 void pool_task::answer_submit(const std::string& job, const reply& done, peer_outcome outcome) {
     done(make_answer(outcome));
-    const auto [first, last] = m_submits_again.equal_range(job);
+    const auto [first, last] = m_repeated_submits.equal_range(job);
     for (auto item = first; item != last; ++item) {
         item->second(make_answer(outcome));
     }
-    m_submits_again.erase(first, last);
+    m_repeated_submits.erase(first, last);
 }
 
-bool pool_task::has_unsettled(const std::vector<waiting_submit>& batch) const {
+bool pool_task::has_unconfirmed(const std::vector<waiting_submit>& batch) const {
     return std::ranges::any_of(batch, [this](const waiting_submit& item) {
-        return m_unsettled_submits.contains(item.record.spec.id);
+        return m_unconfirmed_submits.contains(item.record.spec.id);
     });
 }
 
-void pool_task::submits_written(std::vector<waiting_submit> batch, const platform::store_answer& answer,
-                                std::int64_t token) {
+void pool_task::on_submits_written(std::vector<waiting_submit> batch, const platform::store_answer& answer,
+                                   std::int64_t token) {
     m_writing_submits = false;
     const bool stored = answer.status == platform::store_status::ok;
     const bool conflict = answer.status == platform::store_status::conflict;
     const bool unanswered = answer.status == platform::store_status::unknown;
-    if (conflict && revision_of(answer, owner_prefix + m_held.duty) != token) {
-        ownership_lost("submit", token);
+    if (conflict && revision_of(answer, owner_prefix + m_ownership.duty) != token) {
+        on_ownership_lost("submit", token);
     }
     if (stored) {
         for (const waiting_submit& item : batch) {
-            submit_stored(item);
+            on_submit_stored(item);
         }
-        decide_soon();
-    } else if (m_lost) {
-        hold_back(std::move(batch), unanswered);
+        schedule_decision();
+    } else if (m_ownership_lost) {
+        keep_unconfirmed_submits(std::move(batch), unanswered);
     } else if (conflict) {
         // An earlier write was carried out, or the token is one that a new claim of our own has replaced.
-        std::erase_if(batch, [&](const waiting_submit& item) { return settled_by_progress(item, answer); });
-        write_again(std::move(batch));
-    } else if (unanswered || has_unsettled(batch)) {
+        std::erase_if(batch,
+                      [&](const waiting_submit& item) { return finish_if_progress_found(item, answer); });
+        retry_submits(std::move(batch));
+    } else if (unanswered || has_unconfirmed(batch)) {
         // The write may yet be carried out, so no refusal would be true: repeat it until the outcome is
         // known.
         for (const waiting_submit& item : batch) {
-            m_unsettled_submits.emplace(item.record.spec.id, item.record.spec.queue);
+            m_unconfirmed_submits.emplace(item.record.spec.id, item.record.spec.queue);
         }
-        write_again(std::move(batch));
+        retry_submits(std::move(batch));
     } else {
         for (const waiting_submit& item : batch) {
-            settle_submit(item.record.spec.id, item.done, peer_outcome::unavailable);
+            finish_submit(item.record.spec.id, item.done, peer_outcome::unavailable);
         }
     }
     // Jobs that lie in the inbox as well were passed over there until now.
@@ -179,12 +180,12 @@
     write_submits();
 }
 
-void pool_task::submit_stored(const waiting_submit& item) {
+void pool_task::on_submit_stored(const waiting_submit& item) {
     add_job(item.record, event_loop::now());
-    settle_submit(item.record.spec.id, item.done, peer_outcome::ok);
+    finish_submit(item.record.spec.id, item.done, peer_outcome::ok);
 }
 
-bool pool_task::settled_by_progress(const waiting_submit& item, const platform::store_answer& answer) {
+bool pool_task::finish_if_progress_found(const waiting_submit& item, const platform::store_answer& answer) {
     const std::string& id = item.record.spec.id;
     const auto found =
         std::ranges::find(answer.items, progress_prefix(m_pool) + id, &platform::store_item::key);
@@ -196,11 +197,11 @@
     if (progress && !m_scheduler.has_job(id) && m_ended.try_emplace(id, progress.value().phase).second) {
         m_ended_at[id] = event_loop::now();
     }
-    settle_submit(id, item.done, peer_outcome::ok);
+    finish_submit(id, item.done, peer_outcome::ok);
     return true;
 }
 
-void pool_task::write_again(std::vector<waiting_submit> batch) {
+void pool_task::retry_submits(std::vector<waiting_submit> batch) {
     m_submits.insert(m_submits.begin(), std::make_move_iterator(batch.begin()),
                      std::make_move_iterator(batch.end()));
     m_submit_timer->start(submit_retry);
@@ -209,15 +210,15 @@
 
 /// The claim is over: what was certainly not stored is refused. A job that may be stored would be lost if the
 /// next claim is our own, which reads nothing: it is kept, and written again under that one.
-void pool_task::hold_back(std::vector<waiting_submit> batch, bool unanswered) {
+void pool_task::keep_unconfirmed_submits(std::vector<waiting_submit> batch, bool unanswered) {
     for (waiting_submit& item : batch) {
         const std::string& id = item.record.spec.id;
-        if (!unanswered && !m_unsettled_submits.contains(id)) {
-            settle_submit(id, item.done, peer_outcome::unavailable);
+        if (!unanswered && !m_unconfirmed_submits.contains(id)) {
+            finish_submit(id, item.done, peer_outcome::unavailable);
             continue;
         }
-        log_event(event_id::submit_unknown, {{"pool", m_pool}, {"job", id}, {"token", m_held.token}});
-        m_unsettled_submits.emplace(id, item.record.spec.queue);
+        log_event(event_id::submit_unknown, {{"pool", m_pool}, {"job", id}, {"token", m_ownership.token}});
+        m_unconfirmed_submits.emplace(id, item.record.spec.queue);
         answer_submit(id, std::exchange(item.done, [](const peer_answer&) {}), peer_outcome::unknown);
         m_submits.push_back(std::move(item));
     }
--- a/node/pool_takeover.cpp
+++ b/node/pool_takeover.cpp
@@ -15,38 +15,39 @@
 
 void pool_task::start() {
     log_event(event_id::pool_taking_over,
-              {{"pool", m_pool}, {"epoch", m_held.epoch}, {"token", m_held.token}});
+              {{"pool", m_pool}, {"epoch", m_ownership.epoch}, {"token", m_ownership.token}});
     m_directory.start([this] { load_progress({}); });
 }
 
 void pool_task::retry_loading(std::function<void()> step) {
-    m_retry_action = std::move(step);
-    m_retry->start(load_retry);
+    m_load_retry_step = std::move(step);
+    m_load_retry_timer->start(load_retry);
 }
 
 void pool_task::load_progress(const std::string& after) {
-    m_parts.store.range(progress_prefix(m_pool), after,
-                        [this, after, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
-                            if (alive.expired()) {
-                                return;
-                            }
-                            if (answer.status != platform::store_status::ok) {
-                                retry_loading([this, after] { load_progress(after); });
-                                return;
-                            }
-                            for (const platform::store_item& item : answer.items) {
-                                const std::string id = item.key.substr(progress_prefix(m_pool).size());
-                                m_progress_revisions[id] = item.revision;
-                                if (const auto progress = decode_archive<jobs::job_progress>(item.value)) {
-                                    m_loaded_progress[id] = progress.value();
-                                }
-                            }
-                            if (answer.has_more && !answer.items.empty()) {
-                                load_progress(answer.items.back().key);
-                            } else {
-                                load_jobs({});
-                            }
-                        });
+    m_context.store.range(
+        progress_prefix(m_pool), after,
+        [this, after, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
+            if (alive.expired()) {
+                return;
+            }
+            if (answer.status != platform::store_status::ok) {
+                retry_loading([this, after] { load_progress(after); });
+                return;
+            }
+            for (const platform::store_item& item : answer.items) {
+                const std::string id = item.key.substr(progress_prefix(m_pool).size());
+                m_progress_revisions[id] = item.revision;
+                if (const auto progress = decode_archive<jobs::job_progress>(item.value)) {
+                    m_loaded_progress[id] = progress.value();
+                }
+            }
+            if (answer.has_more && !answer.items.empty()) {
+                load_progress(answer.items.back().key);
+            } else {
+                load_jobs({});
+            }
+        });
 }
 
 timestamp pool_task::accepted_at(std::int64_t wall_ms) const {
@@ -55,7 +56,7 @@
 }
 
 void pool_task::load_jobs(const std::string& after) {
-    m_parts.store.range(
+    m_context.store.range(
         job_prefix(m_pool), after,
         [this, after, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
             if (alive.expired()) {
@@ -85,8 +86,8 @@
 }
 
 void pool_task::load_vms() {
-    m_parts.store.get(vms_key(m_pool), [this, alive = m_lifetime.weak_token()](
-                                           const platform::store_answer& answer) {
+    m_context.store.get(vms_key(m_pool), [this, alive = m_lifetime.weak_token()](
+                                             const platform::store_answer& answer) {
         if (alive.expired()) {
             return;
         }
@@ -97,7 +98,7 @@
         if (!answer.items.empty()) {
             const auto recorded = decode_archive<std::vector<jobs::vm_info>>(answer.items.front().value);
             if (recorded) {
-                m_record.load(recorded.value(), answer.items.front().revision);
+                m_vm_record.load(recorded.value(), answer.items.front().revision);
             } else {
                 log_event(event_id::run_noted, {{"what", "record-damaged"}, {"key", vms_key(m_pool)}});
             }
@@ -116,19 +117,19 @@
     }
     m_loaded_progress.clear();
     m_ready = true;
-    for (const auto& [vm, info] : m_record.stored()) {
+    for (const auto& [vm, info] : m_vm_record.stored()) {
         m_scheduler.expect_vm(info);
-        renew(vm);
+        renew_lease(vm);
     }
     log_event(event_id::pool_taken_over, {{"pool", m_pool},
-                                          {"epoch", m_held.epoch},
+                                          {"epoch", m_ownership.epoch},
                                           {"jobs", m_scheduler.job_count()},
                                           {"ended", m_ended.size()},
-                                          {"vms", m_record.stored().size()}});
+                                          {"vms", m_vm_record.stored().size()}});
     for (const auto& [vm, info] : m_directory.vms()) {
-        vm_changed(vm, info);
+        on_vm_changed(vm, info);
     }
-    look_for_unheard();
+    check_unresponsive_vms();
 }
 
 } // namespace siskinpaddle::node
--- a/node/pool_task.cpp
+++ b/node/pool_task.cpp
@@ -12,19 +12,19 @@
 constexpr milliseconds decide_interval = 200ms;
 constexpr milliseconds load_interval = 1s;
 /// Most runs that a log line names.
-constexpr std::size_t runs_in_line = 12;
+constexpr std::size_t max_runs_per_line = 12;
 /// A watch is begun anew this often; a connection that went silent is found within this time.
-constexpr milliseconds inbox_wait = 1200ms;
+constexpr milliseconds inbox_watch_interval = 1200ms;
 
 /// Long enough that runs outlive the change of their owner (a lease of two seconds, and what a renewal
 /// waits for); no longer, since the runs of a VM that went dark start elsewhere only when its lease has run
 /// out, and a successor waits for silent VMs that long and four seconds more: 10.7 s, below the 12 s within
 /// which a restarted system has to serve again. With leases of ten seconds it would be 14.8 s.
-constexpr milliseconds longest_lease = 6s;
+constexpr milliseconds max_lease = 6s;
 
 /// What the starts that are on their way may take up of the link: answers, lease renewals and writes to the
 /// store share it, and have timeouts of 0.7 s and more.
-constexpr milliseconds starts_on_link = 125ms;
+constexpr milliseconds max_start_link_time = 125ms;
 
 std::size_t bytes_in(milliseconds time, double mbps) {
     constexpr double bytes_per_ms_of_mbps = 125;
@@ -33,48 +33,48 @@
 
 jobs::scheduler_settings scheduler_settings_for(const node_settings& settings) {
     jobs::scheduler_settings result;
-    result.lease = std::min(settings.vm_lease, longest_lease);
+    result.lease = std::min(settings.vm_lease, max_lease);
     // An earlier owner acts for a while past its lease and grants whole leases until then; VM clocks are
     // slow.
     result.takeover_timeout = membership_task::grace_after_lease +
                               std::chrono::duration_cast<milliseconds>(result.lease * 1.03) + 500ms;
     result.max_stop_time = settings.stop_time;
-    result.starts.max_bytes_in_flight = bytes_in(starts_on_link, settings.link_mbps);
+    result.starts.max_bytes_in_flight = bytes_in(max_start_link_time, settings.link_mbps);
     return result;
 }
 
 } // namespace
 
 pool_task::pool_task(context parts, std::string pool, const ownership& held)
-    : m_parts(parts), m_pool(std::move(pool)), m_held(held),
+    : m_context(parts), m_pool(std::move(pool)), m_ownership(held),
       m_scheduler(scheduler_settings_for(parts.settings), held.epoch, event_loop::now()),
       m_directory(parts.loop, parts.store,
                   [this](const std::string& vm, const std::optional<jobs::vm_info>& info) {
                       if (m_ready) {
-                          vm_changed(vm, info);
+                          on_vm_changed(vm, info);
                       }
                   }),
-      m_inbox_cancels(parts.loop, parts.store, cancel_key(m_pool, ""), inbox_wait,
-                      [this](const platform::store_item& item) { take_inbox_cancel(item); }),
-      m_inbox(parts.loop, parts.store, submit_key(m_pool, ""), inbox_wait,
-              [this](const platform::store_item& item) { take_inbox_submit(item); }),
-      m_record_timer(parts.loop.make_timer([this] { record_vms(); })),
-      m_unheard_timer(parts.loop.make_timer([this] { look_for_unheard(); })),
+      m_inbox_cancels(parts.loop, parts.store, cancel_key(m_pool, ""), inbox_watch_interval,
+                      [this](const platform::store_item& item) { process_inbox_cancel(item); }),
+      m_inbox(parts.loop, parts.store, submit_key(m_pool, ""), inbox_watch_interval,
+              [this](const platform::store_item& item) { process_inbox_submit(item); }),
+      m_vm_record_timer(parts.loop.make_timer([this] { write_vm_record(); })),
+      m_unresponsive_timer(parts.loop.make_timer([this] { check_unresponsive_vms(); })),
       m_decide_timer(parts.loop.make_timer([this] { decide(); })),
       m_submit_timer(parts.loop.make_timer([this] {
           m_writing_submits = false;
           write_submits();
       })),
-      m_inbox_timer(parts.loop.make_timer([this] { take_inbox_jobs(); })),
-      m_store_timer(parts.loop.make_timer([this] { store_round(); })),
-      m_retry(parts.loop.make_timer([this] { std::exchange(m_retry_action, {})(); })) {}
+      m_inbox_timer(parts.loop.make_timer([this] { transfer_inbox_jobs(); })),
+      m_store_timer(parts.loop.make_timer([this] { store_changes(); })),
+      m_load_retry_timer(parts.loop.make_timer([this] { std::exchange(m_load_retry_step, {})(); })) {}
 
 void pool_task::renew_token(const ownership& held) {
-    m_held = held;
-    m_lost = false;
+    m_ownership = held;
+    m_ownership_lost = false;
     m_inbox_timer->start(0ms);
     write_submits();
-    decide_soon();
+    schedule_decision();
 }
 
 void pool_task::refresh() {
@@ -92,43 +92,45 @@
     m_scheduler.configure(std::move(queues));
     const jobs::pool_settings* pool = configuration.find_pool(m_pool);
     m_vms_check_capacity = pool == nullptr || pool->vms_check_capacity;
-    decide_soon();
+    schedule_decision();
 }
 
 // --- Deciding ---
 
 bool pool_task::may_act() const {
-    return m_ready && !m_lost && event_loop::now() < m_parts.membership.act_until(m_held.duty);
+    return m_ready && !m_ownership_lost &&
+           event_loop::now() < m_context.membership.act_until(m_ownership.duty);
 }
 
-void pool_task::decide_soon() {
-    if (m_deciding) {
+void pool_task::schedule_decision() {
+    if (m_decision_scheduled) {
         return;
     }
-    m_deciding = true;
+    m_decision_scheduled = true;
     m_decide_timer->start(milliseconds(0));
 }
 
 void pool_task::decide() {
-    m_deciding = false;
+    m_decision_scheduled = false;
     if (!m_ready) {
         return;
     }
     m_decide_timer->start(decide_interval);
-    const bool acting = may_act() && !m_winding_down;
-    if (acting != m_acting) {
-        m_acting = acting;
-        log_event(acting ? event_id::pool_resumed : event_id::pool_paused,
-                  {{"pool", m_pool}, {"token", m_held.token}, {"lost", static_cast<int>(m_lost)}});
+    const bool acting = may_act() && !m_shutting_down;
+    if (acting != m_was_acting) {
+        m_was_acting = acting;
+        log_event(
+            acting ? event_id::pool_resumed : event_id::pool_paused,
+            {{"pool", m_pool}, {"token", m_ownership.token}, {"lost", static_cast<int>(m_ownership_lost)}});
     }
     if (!acting) {
         return;
     }
     const timestamp now = event_loop::now();
-    const bool capacity_known = now - m_directory.complete_until() <= m_parts.settings.max_capacity_age;
+    const bool capacity_known = now - m_directory.complete_until() <= m_context.settings.max_capacity_age;
     m_scheduler.hold_starts(!m_vms_check_capacity && !capacity_known);
-    const bool certain = now < m_parts.membership.confirmed_until(m_held.duty);
-    const jobs::decisions wanted = m_scheduler.decide(now, wall_clock_ms(), certain);
+    const bool ownership_confirmed = now < m_context.membership.confirmed_until(m_ownership.duty);
+    const jobs::decisions wanted = m_scheduler.decide(now, wall_clock_ms(), ownership_confirmed);
     log_decisions(wanted);
     for (const jobs::stop_order& order : wanted.stops) {
         send_stop(order);
@@ -140,13 +142,13 @@
         send_pace(order);
     }
     for (const jobs::advice_request& question : wanted.advice_requests) {
-        send_question(question);
+        request_advice(question);
     }
     if (m_scheduler.has_changes()) {
-        store_soon();
+        schedule_store();
     }
-    review_record();
-    forget_old();
+    review_vm_record();
+    run_cleanup();
     log_load(now);
 }
 
@@ -185,7 +187,7 @@
                                            {"occurrence", first.occurrence},
                                            {"step", first.step},
                                            {"runs", placed},
-                                           {"token", m_held.token}});
+                                           {"token", m_ownership.token}});
     }
     for (const jobs::scheduler_note& note : wanted.notes) {
         log_event(event_id::run_noted,
@@ -204,7 +206,7 @@
 }
 
 void pool_task::log_suspicion(const jobs::suspicion_change& change) const {
-    m_parts.counters.increment("suspicions_" + std::string(name_of(change.level)));
+    m_context.counters.increment("suspicions_" + std::string(name_of(change.level)));
     std::string evidence;
     for (const jobs::crash_evidence& item : change.evidence) {
         evidence += (evidence.empty() ? "" : ",") + item.vm + ":" + std::string(name_of(item.kind)) + ":" +
@@ -224,9 +226,10 @@
 }
 
 void pool_task::log_vm_end(const jobs::vm_end& end) const {
-    m_parts.counters.increment("vm_ends_" + std::string(name_of(end.cause)));
+    m_context.counters.increment("vm_ends_" + std::string(name_of(end.cause)));
     std::string runs;
-    for (const jobs::ended_run& item : std::span(end.runs).first(std::min(end.runs.size(), runs_in_line))) {
+    for (const jobs::ended_run& item :
+         std::span(end.runs).first(std::min(end.runs.size(), max_runs_per_line))) {
         runs += (runs.empty() ? "" : ",") + platform::encode_task(item.task) + "#" +
                 std::to_string(item.attempt) + "+" + std::to_string(item.age.count()) +
                 (item.confirmed ? "" : "?");
@@ -241,9 +244,9 @@
                                    {"runs", runs.empty() ? std::string("-") : runs}});
 }
 
-void pool_task::check_answer(const std::string& vm, jobs::order_outcome outcome, const char* order,
-                             const jobs::task_id& task, std::uint32_t attempt, std::int64_t token) {
-    m_parts.counters.increment("orders_" + std::string(order) + "_" + std::string(name_of(outcome)));
+void pool_task::check_order_answer(const std::string& vm, jobs::order_outcome outcome, const char* order,
+                                   const jobs::task_id& task, std::uint32_t attempt, std::int64_t token) {
+    m_context.counters.increment("orders_" + std::string(order) + "_" + std::string(name_of(outcome)));
     if (outcome == jobs::order_outcome::accepted) {
         return;
     }
@@ -258,24 +261,24 @@
     } else if (outcome == jobs::order_outcome::not_sent) {
         m_scheduler.handle_vm_unreachable(vm, event_loop::now());
     } else if (outcome == jobs::order_outcome::refused_fenced) {
-        ownership_lost("fence", token);
+        on_ownership_lost("fence", token);
     }
 }
 
 void pool_task::send_start(const jobs::start_order& order) {
     const auto vm = m_scheduler.vms().find(order.vm);
     const jobs::job_state* job = m_scheduler.find_job(order.task.job);
-    m_parts.vms.start_run(
-        vm->second.info(), m_held.token, order, job->spec().payload,
-        [this, order, token = m_held.token,
+    m_context.vms.start_run(
+        vm->second.info(), m_ownership.token, order, job->spec().payload,
+        [this, order, token = m_ownership.token,
          alive = m_lifetime.weak_token()](const platform::order_answer& answer) {
             if (alive.expired()) {
                 return;
             }
             m_scheduler.handle_start_answer(order, answer.outcome, answer.clock_ms, event_loop::now());
-            check_answer(order.vm, answer.outcome, "start", order.task, order.attempt, token);
+            check_order_answer(order.vm, answer.outcome, "start", order.task, order.attempt, token);
             if (answer.outcome != jobs::order_outcome::accepted || m_scheduler.can_start_more()) {
-                decide_soon();
+                schedule_decision();
             }
         });
 }
@@ -285,13 +288,13 @@
     if (vm == m_scheduler.vms().end()) {
         return;
     }
-    m_parts.vms.stop_run(
-        vm->second.info(), m_held.token, order,
-        [this, order, token = m_held.token,
+    m_context.vms.stop_run(
+        vm->second.info(), m_ownership.token, order,
+        [this, order, token = m_ownership.token,
          alive = m_lifetime.weak_token()](const platform::order_answer& answer) {
             if (!alive.expired()) {
                 m_scheduler.handle_stop_answer(order, answer.outcome, answer.clock_ms, event_loop::now());
-                check_answer(order.vm, answer.outcome, "stop", order.task, order.attempt, token);
+                check_order_answer(order.vm, answer.outcome, "stop", order.task, order.attempt, token);
             }
         });
 }
@@ -301,19 +304,19 @@
     if (vm == m_scheduler.vms().end()) {
         return;
     }
-    m_parts.vms.set_pace(vm->second.info(), m_held.token, order,
-                         [this, order, token = m_held.token,
-                          alive = m_lifetime.weak_token()](const platform::order_answer& answer) {
-                             if (!alive.expired()) {
-                                 check_answer(order.vm, answer.outcome, "pace", order.task, order.attempt,
-                                              token);
-                             }
-                         });
+    m_context.vms.set_pace(vm->second.info(), m_ownership.token, order,
+                           [this, order, token = m_ownership.token,
+                            alive = m_lifetime.weak_token()](const platform::order_answer& answer) {
+                               if (!alive.expired()) {
+                                   check_order_answer(order.vm, answer.outcome, "pace", order.task,
+                                                      order.attempt, token);
+                               }
+                           });
 }
 
-void pool_task::send_question(const jobs::advice_request& question) {
-    m_parts.counters.increment("advice_questions");
-    m_parts.advice.request_advice(
+void pool_task::request_advice(const jobs::advice_request& question) {
+    m_context.counters.increment("advice_questions");
+    m_context.advice.request_advice(
         question, [this, question, alive = m_lifetime.weak_token()](const jobs::advice_answer& answer) {
             if (alive.expired()) {
                 return;
@@ -325,21 +328,21 @@
                                                   {"approved", answer.tickets.size()},
                                                   {"good", static_cast<int>(answer.succeeded)}});
             m_scheduler.handle_advice_answer(question, answer, event_loop::now());
-            decide_soon();
+            schedule_decision();
         });
 }
 
-void pool_task::ownership_lost(const char* found_by, std::int64_t token) {
+void pool_task::on_ownership_lost(const char* found_by, std::int64_t token) {
     // What was sent under an earlier token of ours fails as well; that says nothing about the present one.
-    if (!m_lost && token == m_held.token) {
-        m_lost = true;
+    if (!m_ownership_lost && token == m_ownership.token) {
+        m_ownership_lost = true;
         log_event(event_id::duty_lost,
-                  {{"duty", m_held.duty}, {"token", m_held.token}, {"found_by", found_by}});
+                  {{"duty", m_ownership.duty}, {"token", m_ownership.token}, {"found_by", found_by}});
     }
 }
 
 platform::store_condition pool_task::owner_condition() const {
-    return {owner_prefix + m_held.duty, m_held.token};
+    return {owner_prefix + m_ownership.duty, m_ownership.token};
 }
 
 } // namespace siskinpaddle::node
--- a/node/pool_task.hpp
+++ b/node/pool_task.hpp
@@ -47,12 +47,12 @@
     /// the others are told that the outcome is unknown; their write is repeated until it is known. Called
     /// several times a second. Guards against clients that are held until their deadline and have no time
     /// left for the try that would be accepted.
-    void answer_for_silence();
+    void answer_stalled_submits();
     /// Orders nothing more; what is changed is still stored. `done` is called once all is stored.
-    void wind_down(std::function<void()> done);
+    void shut_down(std::function<void()> done);
 
     [[nodiscard]] const std::string& pool() const noexcept { return m_pool; }
-    [[nodiscard]] std::uint32_t epoch() const noexcept { return m_held.epoch; }
+    [[nodiscard]] std::uint32_t epoch() const noexcept { return m_ownership.epoch; }
     [[nodiscard]] const jobs::scheduler& scheduler() const noexcept { return m_scheduler; }
     /// Jobs in the pool's inbox that are not taken yet.
     [[nodiscard]] std::size_t inbox_jobs() const noexcept { return m_inbox_jobs.size(); }
@@ -61,11 +61,11 @@
 
   private:
     /// One VM's lease renewals.
-    struct vm_link {
+    struct vm_renewal {
         bool renewing = false;
         bool waits_for_store = false; ///< Ends are to be stored, so that the next renewal acknowledges them.
         int failures = 0;
-        std::unique_ptr<timer> pause;
+        std::unique_ptr<timer> delay_timer;
     };
     struct waiting_submit {
         jobs::job_record record;
@@ -92,30 +92,30 @@
     [[nodiscard]] timestamp accepted_at(std::int64_t wall_ms) const;
 
     // VMs.
-    void vm_changed(const std::string& vm, const std::optional<jobs::vm_info>& info);
-    void log_capacity(const jobs::vm_info& info) const;
-    void record_vms();
-    void record_written(const platform::store_answer& answer, std::int64_t token);
-    void review_record();
+    void on_vm_changed(const std::string& vm, const std::optional<jobs::vm_info>& info);
+    void log_capacity_change(const jobs::vm_info& info) const;
+    void write_vm_record();
+    void on_vm_record_written(const platform::store_answer& answer, std::int64_t token);
+    void review_vm_record();
     [[nodiscard]] jobs::vm_record::vms_by_incarnation vms_to_record() const;
     [[nodiscard]] bool belongs_in_record(const std::string& vm, bool listed) const;
-    void look_for_unheard();
-    void take_machines(const platform::machine_list& list);
-    void use_recorded();
-    void renew(const std::string& vm);
-    void renewed(const std::string& vm, const platform::renewal_answer& answer, std::int64_t token);
-    void renew_later(const std::string& vm, milliseconds pause);
+    void check_unresponsive_vms();
+    void end_reassigned_vms(const platform::machine_list& list);
+    void activate_recorded_vms();
+    void renew_lease(const std::string& vm);
+    void on_lease_renewed(const std::string& vm, const platform::renewal_answer& answer, std::int64_t token);
+    void schedule_renewal(const std::string& vm, milliseconds pause);
 
     // Deciding.
     [[nodiscard]] bool may_act() const;
-    void decide_soon();
+    void schedule_decision();
     void decide();
     void send_start(const jobs::start_order& order);
     void send_stop(const jobs::stop_order& order);
     void send_pace(const jobs::pace_order& order);
-    void send_question(const jobs::advice_request& question);
-    void check_answer(const std::string& vm, jobs::order_outcome outcome, const char* order,
-                      const jobs::task_id& task, std::uint32_t attempt, std::int64_t token);
+    void request_advice(const jobs::advice_request& question);
+    void check_order_answer(const std::string& vm, jobs::order_outcome outcome, const char* order,
+                            const jobs::task_id& task, std::uint32_t attempt, std::int64_t token);
     void log_decisions(const jobs::decisions& wanted) const;
     void log_vm_end(const jobs::vm_end& end) const;
     void log_suspicion(const jobs::suspicion_change& change) const;
@@ -126,106 +126,107 @@
     void cancel(const peer_request& request, const reply& done);
     void status(const peer_request& request, const reply& done) const;
     void count(const peer_request& request, const reply& done) const;
-    void fleet_look(const peer_request& request, const reply& done);
-    void use_again(const std::set<std::string>& vms);
-    void settle_cancels();
-    void settle_submit(const std::string& job, const reply& done, peer_outcome outcome);
+    void answer_demand_query(const peer_request& request, const reply& done);
+    void uncordon_vms(const std::set<std::string>& vms);
+    void answer_stored_cancels();
+    void finish_submit(const std::string& job, const reply& done, peer_outcome outcome);
     void answer_submit(const std::string& job, const reply& done, peer_outcome outcome);
     void write_submits();
-    [[nodiscard]] bool has_unsettled(const std::vector<waiting_submit>& batch) const;
-    void submit_stored(const waiting_submit& item);
+    [[nodiscard]] bool has_unconfirmed(const std::vector<waiting_submit>& batch) const;
+    void on_submit_stored(const waiting_submit& item);
     /// Settles the job if the answer to its refused write shows its progress.
-    [[nodiscard]] bool settled_by_progress(const waiting_submit& item, const platform::store_answer& answer);
-    void write_again(std::vector<waiting_submit> batch);
-    void hold_back(std::vector<waiting_submit> batch, bool unanswered);
-    void submits_written(std::vector<waiting_submit> batch, const platform::store_answer& answer,
-                         std::int64_t token);
+    [[nodiscard]] bool finish_if_progress_found(const waiting_submit& item,
+                                                const platform::store_answer& answer);
+    void retry_submits(std::vector<waiting_submit> batch);
+    void keep_unconfirmed_submits(std::vector<waiting_submit> batch, bool unanswered);
+    void on_submits_written(std::vector<waiting_submit> batch, const platform::store_answer& answer,
+                            std::int64_t token);
 
     // Requests that did not reach an owner.
-    void take_inbox_submit(const platform::store_item& item);
-    void take_inbox_cancel(const platform::store_item& item);
-    void take_inbox_jobs();
-    [[nodiscard]] std::vector<std::string> next_inbox_jobs();
-    void inbox_jobs_written(const std::vector<std::string>& batch, const platform::store_answer& answer,
-                            std::int64_t token);
+    void process_inbox_submit(const platform::store_item& item);
+    void process_inbox_cancel(const platform::store_item& item);
+    void transfer_inbox_jobs();
+    [[nodiscard]] std::vector<std::string> select_inbox_jobs();
+    void on_inbox_jobs_written(const std::vector<std::string>& batch, const platform::store_answer& answer,
+                               std::int64_t token);
     /// A job whose record is stored. A cancelling of it that lies in the inbox takes effect at once.
     void add_job(const jobs::job_record& record, timestamp accepted);
-    [[nodiscard]] std::size_t waiting_in_inbox(const std::string& queue) const;
-    void remove_inbox(const std::string& key);
+    [[nodiscard]] std::size_t count_waiting_in_inbox(const std::string& queue) const;
+    void remove_from_inbox(const std::string& key);
 
     // Storing.
-    void store_soon();
-    void store_round();
+    void schedule_store();
+    void store_changes();
     std::size_t write_chunk(std::span<const std::string> jobs);
     void add_progress(platform::store_transaction& change, const std::string& id,
                       const jobs::job_state& job) const;
-    void note_progress_revision(const std::string& job, std::int64_t revision);
-    void chunk_written(const std::vector<std::pair<std::string, std::uint64_t>>& written,
-                       const platform::store_answer& answer, std::int64_t token);
-    void chunk_refused(const std::vector<std::pair<std::string, std::uint64_t>>& written,
-                       const platform::store_answer& answer, std::int64_t token);
+    void update_progress_revision(const std::string& job, std::int64_t revision);
+    void on_chunk_written(const std::vector<std::pair<std::string, std::uint64_t>>& written,
+                          const platform::store_answer& answer, std::int64_t token);
+    void on_chunk_refused(const std::vector<std::pair<std::string, std::uint64_t>>& written,
+                          const platform::store_answer& answer, std::int64_t token);
     void log_if_ended(const std::string& id) const;
-    void round_done();
+    void finish_store_round();
     /// An answer to what was sent under `token` says that somebody else owns the pool.
-    void ownership_lost(const char* found_by, std::int64_t token);
+    void on_ownership_lost(const char* found_by, std::int64_t token);
     [[nodiscard]] platform::store_condition owner_condition() const;
-    void forget_old();
+    void run_cleanup();
 
-    context m_parts;
+    context m_context;
     std::string m_pool;
-    ownership m_held;
+    ownership m_ownership;
     jobs::scheduler m_scheduler;
     vm_directory m_directory;
     watch_task m_inbox_cancels; ///< Apart from the submits: in a full inbox they would be read seconds late.
     watch_task m_inbox;         ///< Submits.
     bool m_vms_check_capacity = true; ///< Else they start whatever they are told to.
     bool m_ready = false;
-    bool m_lost = false;
-    bool m_winding_down = false;
-    std::function<void()> m_wound_down;
+    bool m_ownership_lost = false;
+    bool m_shutting_down = false;
+    std::function<void()> m_on_shut_down;
 
     std::map<std::string, jobs::job_progress> m_loaded_progress;
     std::map<std::string, std::int64_t>
         m_progress_revisions; ///< Of the stored progress of the scheduler's jobs; none: nothing is stored.
     std::map<std::string, jobs::job_phase> m_ended; ///< Jobs that ended and are no longer in the scheduler.
     std::map<std::string, timestamp> m_ended_at;
-    jobs::vm_record m_record; ///< VMs that may hold runs, as stored.
+    jobs::vm_record m_vm_record; ///< VMs that may hold runs, as stored.
 
-    std::map<std::string, vm_link> m_links;
-    std::unique_ptr<timer> m_record_timer;
-    std::unique_ptr<timer> m_unheard_timer;
+    std::map<std::string, vm_renewal> m_renewals;
+    std::unique_ptr<timer> m_vm_record_timer;
+    std::unique_ptr<timer> m_unresponsive_timer;
     std::unique_ptr<timer> m_decide_timer;
-    bool m_deciding = false;
-    bool m_acting = true; ///< As last logged.
+    bool m_decision_scheduled = false;
+    bool m_was_acting = true; ///< As last logged.
 
     std::vector<waiting_submit> m_submits;      ///< Wait for the write before theirs.
     std::vector<waiting_submit> m_sent_submits; ///< Of the write that is on its way.
     std::set<std::string> m_submitting;         ///< Jobs whose record is on its way to the store.
     bool m_writing_submits = false;
     std::map<std::string, std::string>
-        m_unsettled_submits;                           ///< Written at least once without an answer; to queue.
-    std::multimap<std::string, reply> m_submits_again; ///< Repeats of submits that are on their way.
+        m_unconfirmed_submits; ///< Written at least once without an answer; to queue.
+    std::multimap<std::string, reply> m_repeated_submits; ///< Repeats of submits that are on their way.
     std::unique_ptr<timer> m_submit_timer;
     std::vector<waiting_cancel> m_cancels;
-    std::vector<platform::store_item> m_inbox_again; ///< Cancellings that found no job yet.
-    std::map<std::string, inbox_job> m_inbox_jobs;   ///< Jobs in the inbox that are not taken yet.
+    std::vector<platform::store_item> m_unresolved_inbox_cancels; ///< Cancellings that found no job yet.
+    std::map<std::string, inbox_job> m_inbox_jobs; ///< Jobs in the inbox that are not taken yet.
     std::unique_ptr<timer> m_inbox_timer;
-    std::size_t m_inbox_writes = 0; ///< Transactions on their way that take jobs out of the inbox.
+    std::size_t m_inbox_writes_in_flight = 0; ///< Transactions on their way that take jobs out of the inbox.
 
     std::unique_ptr<timer> m_store_timer;
-    std::unique_ptr<timer> m_retry;
-    std::function<void()> m_retry_action;
-    bool m_storing = false;
+    std::unique_ptr<timer> m_load_retry_timer;
+    std::function<void()> m_load_retry_step;
+    bool m_store_in_flight = false;
     bool m_store_planned = false;
     bool m_store_urgent = false;
-    jobs::store_batch m_round;
-    std::size_t m_chunks_open = 0;
-    bool m_round_good = true;
+    jobs::store_batch m_store_round;
+    std::size_t m_chunks_in_flight = 0;
+    bool m_store_round_succeeded = true;
     std::set<std::string> m_cleared_vms; ///< VMs that are to be empty ...
     timestamp m_cleared_at{0};           ///< ... as was last asked for then.
-    timestamp m_forgot_at{0};
-    timestamp m_record_reviewed_at{0};
-    timestamp m_inbox_tried_at{0};
+    timestamp m_cleaned_up_at{0};
+    timestamp m_vm_record_reviewed_at{0};
+    timestamp m_inbox_retried_at{0};
     timestamp m_load_logged_at{0};
     lifetime m_lifetime;
 };
--- a/node/pool_vms.cpp
+++ b/node/pool_vms.cpp
@@ -9,48 +9,48 @@
 namespace {
 
 /// VMs that left the pool are taken out of the record together.
-constexpr milliseconds record_pause = 300ms;
+constexpr milliseconds record_delay = 300ms;
 /// Between two looks for VMs that have been silent for longer than their lease.
-constexpr milliseconds record_review = 500ms;
+constexpr milliseconds record_review_interval = 500ms;
 /// Between two looks at the platform's machines for VMs that an earlier owner used and that don't answer.
-constexpr milliseconds unheard_interval = 400ms;
+constexpr milliseconds unresponsive_check_interval = 400ms;
 
 } // namespace
 
-void pool_task::vm_changed(const std::string& vm, const std::optional<jobs::vm_info>& info) {
+void pool_task::on_vm_changed(const std::string& vm, const std::optional<jobs::vm_info>& info) {
     if (!info || info->pool != m_pool) {
         if (m_scheduler.vms().contains(vm)) {
             log_event(event_id::vm_delisted, {{"pool", m_pool}, {"vm", vm}});
             m_scheduler.mark_vm_delisted(vm);
-            m_record_timer->start(record_pause);
-            decide_soon();
+            m_vm_record_timer->start(record_delay);
+            schedule_decision();
         }
         return;
     }
-    log_capacity(*info);
+    log_capacity_change(*info);
     log_event(event_id::vm_listed, {{"pool", m_pool},
                                     {"vm", vm},
                                     {"machine", info->machine},
                                     {"zone", info->availability_zone},
                                     {"draining", static_cast<int>(info->draining)}});
-    if (m_record.contains(vm) && m_scheduler.vms().contains(vm)) {
+    if (m_vm_record.contains(vm) && m_scheduler.vms().contains(vm)) {
         m_scheduler.add_or_update_vm(*info);
-        renew(vm);
-        decide_soon();
+        renew_lease(vm);
+        schedule_decision();
         return;
     }
-    m_record_timer->start(0ms); // Those that change together are recorded together.
+    m_vm_record_timer->start(0ms); // Those that change together are recorded together.
 }
 
 /// What runs goes on where it is, also beyond a capacity that has shrunk; nothing is started there until it
 /// fits again.
-void pool_task::log_capacity(const jobs::vm_info& info) const {
+void pool_task::log_capacity_change(const jobs::vm_info& info) const {
     const auto known = m_scheduler.vms().find(info.incarnation);
     if (known == m_scheduler.vms().end() || known->second.info().capacity == info.capacity) {
         return;
     }
     const jobs::vm_state& vm = known->second;
-    m_parts.counters.increment("vm_capacity_changes");
+    m_context.counters.increment("vm_capacity_changes");
     log_event(event_id::vm_capacity_changed, {{"pool", m_pool},
                                               {"vm", info.incarnation},
                                               {"cpu", info.capacity.cpu_millicores},
@@ -67,7 +67,7 @@
     view.listed = listed;
     view.is_idle = m_scheduler.is_releasable(vm);
     view.evacuating = m_cleared_vms.contains(vm);
-    view.recorded = m_record.may_contain(vm);
+    view.recorded = m_vm_record.may_contain(vm);
     if (const auto known = m_scheduler.vms().find(vm); known != m_scheduler.vms().end()) {
         const jobs::vm_state& state = known->second;
         view.reachable = state.reachable;
@@ -84,10 +84,10 @@
             wanted.emplace(vm, info);
         }
     }
-    for (const auto& [vm, info] : m_record.stored()) {
+    for (const auto& [vm, info] : m_vm_record.stored()) {
         const auto listed = m_directory.vms().find(vm);
-        const bool here = listed != m_directory.vms().end() && listed->second.pool == m_pool;
-        if (!here && belongs_in_record(vm, false)) {
+        const bool is_in_pool = listed != m_directory.vms().end() && listed->second.pool == m_pool;
+        if (!is_in_pool && belongs_in_record(vm, false)) {
             wanted.emplace(vm, info);
         }
     }
@@ -96,14 +96,14 @@
 
 /// Looks now and then whether VMs are to leave the record, and at once for those that are to be empty: their
 /// machines are wanted elsewhere.
-void pool_task::review_record() {
+void pool_task::review_vm_record() {
     const timestamp now = event_loop::now();
     const bool released = std::ranges::any_of(m_cleared_vms, [this](const std::string& vm) {
-        return m_record.contains(vm) && m_scheduler.is_releasable(vm);
+        return m_vm_record.contains(vm) && m_scheduler.is_releasable(vm);
     });
-    if (released || now - m_record_reviewed_at >= record_review) {
-        m_record_reviewed_at = now;
-        record_vms();
+    if (released || now - m_vm_record_reviewed_at >= record_review_interval) {
+        m_vm_record_reviewed_at = now;
+        write_vm_record();
     }
 }
 
@@ -111,93 +111,93 @@
 /// ask. Those that are to leave the record get no run from the moment when the write is sent. The write holds
 /// only against the record as this owner knows it: one that is carried out late must not bring an older
 /// record back.
-void pool_task::record_vms() {
-    if (m_record.is_writing() || m_lost) {
+void pool_task::write_vm_record() {
+    if (m_vm_record.is_writing() || m_ownership_lost) {
         return;
     }
     jobs::vm_record::vms_by_incarnation wanted = vms_to_record();
-    if (m_record.is_confirmed() && wanted == m_record.stored()) {
-        use_recorded();
+    if (m_vm_record.is_confirmed() && wanted == m_vm_record.stored()) {
+        activate_recorded_vms();
         return;
     }
-    std::vector<jobs::vm_info> named;
-    named.reserve(wanted.size());
+    std::vector<jobs::vm_info> record;
+    record.reserve(wanted.size());
     for (const auto& [vm, info] : wanted) {
-        named.push_back(info);
+        record.push_back(info);
     }
-    for (const auto& [vm, info] : m_record.stored()) {
+    for (const auto& [vm, info] : m_vm_record.stored()) {
         if (!wanted.contains(vm)) {
             m_scheduler.cordon(vm, true);
         }
     }
     platform::store_transaction change;
     change.conditions.push_back(owner_condition());
-    change.conditions.push_back({vms_key(m_pool), m_record.revision()});
-    change.writes.push_back({vms_key(m_pool), encode_archive(named), 0});
-    m_record.begin_write(std::move(wanted));
-    m_parts.store.commit(change, [this, token = m_held.token,
-                                  alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
+    change.conditions.push_back({vms_key(m_pool), m_vm_record.revision()});
+    change.writes.push_back({vms_key(m_pool), encode_archive(record), 0});
+    m_vm_record.begin_write(std::move(wanted));
+    m_context.store.commit(change, [this, token = m_ownership.token,
+                                    alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
         if (!alive.expired()) {
-            record_written(answer, token);
+            on_vm_record_written(answer, token);
         }
     });
 }
 
-void pool_task::record_written(const platform::store_answer& answer, std::int64_t token) {
+void pool_task::on_vm_record_written(const platform::store_answer& answer, std::int64_t token) {
     switch (answer.status) {
     case platform::store_status::ok:
-        m_record.write_succeeded(answer.revision);
-        use_recorded();
+        m_vm_record.write_succeeded(answer.revision);
+        activate_recorded_vms();
         break;
     case platform::store_status::conflict:
-        m_record.write_conflicted(revision_of(answer, vms_key(m_pool)));
-        if (revision_of(answer, owner_prefix + m_held.duty) != token) {
-            ownership_lost("vm record", token);
+        m_vm_record.write_conflicted(revision_of(answer, vms_key(m_pool)));
+        if (revision_of(answer, owner_prefix + m_ownership.duty) != token) {
+            on_ownership_lost("vm record", token);
             return;
         }
         break;
     case platform::store_status::unknown:
-        m_record.write_unanswered();
+        m_vm_record.write_unanswered();
         break;
     default:
-        m_record.write_refused();
+        m_vm_record.write_refused();
         break;
     }
-    if (!m_record.is_confirmed() || vms_to_record() != m_record.stored()) {
-        m_record_timer->start(answer.status == platform::store_status::ok ? 0ms : record_pause);
+    if (!m_vm_record.is_confirmed() || vms_to_record() != m_vm_record.stored()) {
+        m_vm_record_timer->start(answer.status == platform::store_status::ok ? 0ms : record_delay);
     }
 }
 
-void pool_task::use_recorded() {
-    for (const auto& [vm, info] : m_record.stored()) {
+void pool_task::activate_recorded_vms() {
+    for (const auto& [vm, info] : m_vm_record.stored()) {
         const auto listed = m_directory.vms().find(vm);
         if (listed != m_directory.vms().end() && listed->second.pool == m_pool) {
             m_scheduler.add_or_update_vm(listed->second);
             m_scheduler.cordon(vm, m_cleared_vms.contains(vm));
-            renew(vm);
+            renew_lease(vm);
         }
     }
-    decide_soon();
+    schedule_decision();
 }
 
 /// Looks for VMs that an earlier owner may have used and that are gone, by the platform's list of machines.
 /// Without this the earlier owner's tasks wait for VMs that were moved to other pools, until the longest
 /// lease has run out.
-void pool_task::look_for_unheard() {
-    decide_soon();
+void pool_task::check_unresponsive_vms() {
+    schedule_decision();
     if (m_scheduler.unconfirmed_vms().empty()) {
         return;
     }
-    m_unheard_timer->start(unheard_interval);
-    m_parts.machines.list([this, alive = m_lifetime.weak_token()](const platform::machine_list& list) {
+    m_unresponsive_timer->start(unresponsive_check_interval);
+    m_context.machines.list([this, alive = m_lifetime.weak_token()](const platform::machine_list& list) {
         if (!alive.expired()) {
-            take_machines(list);
+            end_reassigned_vms(list);
         }
     });
 }
 
-void pool_task::take_machines(const platform::machine_list& list) {
-    for (const auto& [vm, info] : m_record.stored()) {
+void pool_task::end_reassigned_vms(const platform::machine_list& list) {
+    for (const auto& [vm, info] : m_vm_record.stored()) {
         const auto found = std::ranges::find(list.machines, info.machine, &platform::machine_info::machine);
         // The list may be a second old, so what is still registered as a VM may be newer than the list. That
         // another life of the machine is registered proves nothing: an ended life's last heartbeat can bring
@@ -207,14 +207,14 @@
         if (registered || found == list.machines.end() || !m_scheduler.unconfirmed_vms().contains(vm)) {
             continue;
         }
-        const bool taken_down = found->phase == platform::machine_phase::moving ||
-                                found->phase == platform::machine_phase::maintenance;
-        const bool elsewhere = found->pool != m_pool;
-        if (taken_down || elsewhere) {
+        const bool is_out_of_service = found->phase == platform::machine_phase::moving ||
+                                       found->phase == platform::machine_phase::maintenance;
+        const bool is_in_other_pool = found->pool != m_pool;
+        if (is_out_of_service || is_in_other_pool) {
             m_scheduler.handle_vm_ended(vm, jobs::vm_end_cause::ordered, event_loop::now());
         }
     }
-    decide_soon();
+    schedule_decision();
 }
 
 } // namespace siskinpaddle::node
--- a/soak/world.cpp
+++ b/soak/world.cpp
@@ -243,7 +243,7 @@
 /// A claim writes the token's key and the owner's name together; the name comes last.
 void world::note_owner(const std::string& key) {
     const std::string duty = node::pool_duty(std::string(pool));
-    if (key != node::alive_prefix + duty) {
+    if (key != node::liveness_prefix + duty) {
         return;
     }
     for (const auto& place : m_nodes) {
--- a/tests/node/cancelled_runs_test.cpp
+++ b/tests/node/cancelled_runs_test.cpp
@@ -7,20 +7,20 @@
 
 const std::string job_a = "00000000000000aa";
 /// Below the deadline that a start carries, above the time after which it is given up and stopped.
-constexpr milliseconds late_start = 1000ms;
+constexpr milliseconds late_start_delay = 1000ms;
 constexpr milliseconds long_run = 60'000ms;
 /// Enough that no stop of one owner gets through.
-constexpr int all_stops = 1000;
+constexpr int many_stops = 1000;
 
-std::string body_of(int tasks, bool gang, bool endless) {
+std::string body_of(int tasks, bool gang, bool long_running) {
     jobs::job_spec spec;
-    spec.payload = endless ? fakes::task_vm::endless_payload : "s";
+    spec.payload = long_running ? fakes::task_vm::endless_payload : "s";
     spec.steps.resize(1);
     spec.steps[0].count = static_cast<std::uint32_t>(tasks);
     spec.steps[0].need = {500, 64, 0};
     spec.steps[0].estimate_ms = 200;
     spec.steps[0].gang = gang;
-    spec.steps[0].long_running = endless;
+    spec.steps[0].long_running = long_running;
     return platform::encode_job(spec);
 }
 
@@ -39,7 +39,7 @@
 }
 
 struct job_kind {
-    const char* what = "";
+    const char* description = "";
     std::string body;
 };
 
@@ -74,11 +74,11 @@
     // A cancelled quote is still being worked on minutes later. The order to start it got no answer, and
     // neither did the stops; it was cancelled, and a moment later the VM carried the start out.
     for (const job_kind& kind : job_kinds()) {
-        INFO(std::string(kind.what));
+        INFO(std::string(kind.description));
         node_deployment d;
         d.serve_with_one_vm(long_run);
-        d.vms[0]->delay_starts(2, late_start);
-        d.vms[0]->lose_stops(all_stops);
+        d.vms[0]->delay_starts(2, late_start_delay);
+        d.vms[0]->lose_stops(many_stops);
         CHECK(d.call("n1", "POST", "/quotes/" + job_a, kind.body).code == 200);
         REQUIRE(d.until([&] { return d.vms[0]->late_starts() == 2; }));
         CHECK(cancel(d, "n1"));
@@ -95,11 +95,11 @@
     // A cancelled quote is still being worked on minutes later. The node that sent the start is gone for
     // good before the VM carries it out, and it had neither seen the run nor stopped it.
     for (const job_kind& kind : job_kinds()) {
-        INFO(std::string(kind.what));
+        INFO(std::string(kind.description));
         node_deployment d;
         d.serve_with_one_vm(long_run);
-        d.vms[0]->delay_starts(2, late_start);
-        d.vms[0]->lose_stops(all_stops);
+        d.vms[0]->delay_starts(2, late_start_delay);
+        d.vms[0]->lose_stops(many_stops);
         CHECK(d.call("n1", "POST", "/quotes/" + job_a, kind.body).code == 200);
         REQUIRE(d.until([&] { return d.vms[0]->late_starts() == 2; }));
         CHECK(cancel(d, "n1"));
@@ -118,10 +118,10 @@
     // A user cancels and is told so; the work goes on and is billed. Its owner is gone for good; the runs are
     // known to their VM only, and the cancelling was stored by the old owner, lay in the inbox, or came to
     // the new one.
-    enum class moment : std::uint8_t { before, inbox, during, after };
+    enum class cancel_time : std::uint8_t { before, inbox, during, after };
     struct change_case {
-        const char* what = "";
-        moment when = moment::before;
+        const char* description = "";
+        cancel_time cancelled_at = cancel_time::before;
         bool delisted = false; ///< The platform drops the VM's entry meanwhile.
         bool silent = false;   ///< The VM answers the new owner only after the cancelling is told.
         int lost_stops = 0;    ///< Of the new owner's.
@@ -129,39 +129,40 @@
     const std::vector<job_kind> kinds = job_kinds();
     std::size_t number = 0;
     for (const change_case& item :
-         {change_case{"before", moment::before}, change_case{"left in the inbox", moment::inbox},
-          change_case{"while nobody owns the pool", moment::during}, change_case{"after", moment::after},
-          change_case{"before, VM no longer listed", moment::before, true},
-          change_case{"before, VM no longer listed, stops lost", moment::before, true, false, 2},
-          change_case{"inbox, VM no longer listed, stops lost", moment::inbox, true, false, 2},
-          change_case{"before, VM silent for a while", moment::before, false, true},
-          change_case{"inbox, VM silent for a while", moment::inbox, false, true},
-          change_case{"inbox, VM silent and no longer listed", moment::inbox, true, true}}) {
+         {change_case{"before", cancel_time::before}, change_case{"left in the inbox", cancel_time::inbox},
+          change_case{"while nobody owns the pool", cancel_time::during},
+          change_case{"after", cancel_time::after},
+          change_case{"before, VM no longer listed", cancel_time::before, true},
+          change_case{"before, VM no longer listed, stops lost", cancel_time::before, true, false, 2},
+          change_case{"inbox, VM no longer listed, stops lost", cancel_time::inbox, true, false, 2},
+          change_case{"before, VM silent for a while", cancel_time::before, false, true},
+          change_case{"inbox, VM silent for a while", cancel_time::inbox, false, true},
+          change_case{"inbox, VM silent and no longer listed", cancel_time::inbox, true, true}}) {
         const job_kind& kind = kinds[number++ % kinds.size()];
-        INFO(std::string(item.what), ", ", std::string(kind.what));
+        INFO(std::string(item.description), ", ", std::string(kind.description));
         node_deployment d;
         d.serve_with_one_vm(long_run);
         fakes::task_vm& vm = *d.vms[0];
-        vm.lose_stops(all_stops);
+        vm.lose_stops(many_stops);
         CHECK(d.call("n1", "POST", "/quotes/" + job_a, kind.body).code == 200);
         REQUIRE(d.until_started(2));
-        if (item.when == moment::before) {
+        if (item.cancelled_at == cancel_time::before) {
             CHECK(cancel(d, "n1"));
         }
         d.kill_node("n1");
         vm.set_silent(item.silent);
         vm.lose_stops(item.lost_stops);
-        if (item.when == moment::inbox) {
+        if (item.cancelled_at == cancel_time::inbox) {
             d.store.put("sp/inbox/p/cancel/" + job_a, "1");
         }
         if (item.delisted) {
             d.store.remove(platform::vm_key("v1"));
         }
         d.start_node("n2");
-        if (item.when == moment::after) {
+        if (item.cancelled_at == cancel_time::after) {
             d.wait_until_serving("n2");
         }
-        if (item.when == moment::during || item.when == moment::after) {
+        if (item.cancelled_at == cancel_time::during || item.cancelled_at == cancel_time::after) {
             CHECK(cancel(d, "n2"));
         }
         if (item.silent) {
--- a/tests/node/capacity_test.cpp
+++ b/tests/node/capacity_test.cpp
@@ -8,19 +8,20 @@
 constexpr std::size_t task_millicores = 500; ///< Of node_deployment's jobs.
 
 /// The most tasks that ran on the VM at a time, counted when one began after `from`.
-std::size_t most_at_once(const std::vector<fakes::vm_run>& runs, timestamp from) {
-    std::size_t most = 0;
+std::size_t max_concurrent_runs(const std::vector<fakes::vm_run>& runs, timestamp from) {
+    std::size_t max_runs = 0;
     for (const fakes::vm_run& began : runs) {
         if (began.run.began < from) {
             continue;
         }
-        most = std::max(most, static_cast<std::size_t>(std::ranges::count_if(runs, [&](const auto& item) {
-                            const bool ended =
-                                item.run.ended != timestamp(0) && item.run.ended <= began.run.began;
-                            return item.run.began <= began.run.began && !ended;
-                        })));
+        max_runs =
+            std::max(max_runs, static_cast<std::size_t>(std::ranges::count_if(runs, [&](const auto& item) {
+                         const bool ended =
+                             item.run.ended != timestamp(0) && item.run.ended <= began.run.began;
+                         return item.run.began <= began.run.began && !ended;
+                     })));
     }
-    return most;
+    return max_runs;
 }
 
 } // namespace
@@ -31,17 +32,17 @@
     fakes::task_machine& machine = d.add_machine("m1", 300ms);
     d.start_node("n1");
     d.wait_until_serving("n1");
-    const auto hand_in = [&](const std::string& digit) {
+    const auto submit_job = [&](const std::string& digit) {
         CHECK(d.call("n1", "POST", "/quotes/" + std::string(16, digit[0]), d.job_body(24)).code == 200);
     };
-    hand_in("1");
+    submit_job("1");
     REQUIRE(d.until([&] { return machine.runs().size() >= 8; }));
     machine.set_capacity({1000, 8192, 0});
     const timestamp shrunk = event_loop::now() + 1s; // The copy of its registration may be that old.
     CHECK(d.reaches_phase("n1", std::string(16, '1'), "completed"));
-    CHECK(most_at_once(machine.runs(), shrunk) <= 1000 / task_millicores);
+    CHECK(max_concurrent_runs(machine.runs(), shrunk) <= 1000 / task_millicores);
     machine.set_capacity({3000, 8192, 0});
-    hand_in("2");
+    submit_job("2");
     CHECK(d.reaches_phase("n1", std::string(16, '2'), "completed"));
-    CHECK(most_at_once(machine.runs(), shrunk) == 3000 / task_millicores);
+    CHECK(max_concurrent_runs(machine.runs(), shrunk) == 3000 / task_millicores);
 }
--- a/tests/node/count_test.cpp
+++ b/tests/node/count_test.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr std::size_t left_jobs = 40;
+constexpr std::size_t inbox_job_count = 40;
 /// A queue's count may be this old.
-constexpr milliseconds oldest_count = 2s;
+constexpr milliseconds max_count_age = 2s;
 
 /// Whether the node tells of at least half of the jobs, or tells nothing.
-bool tells_of_most(node_deployment& d, const std::string& node, std::size_t jobs) {
-    const std::optional<std::int64_t> told = d.pending_count(node);
-    return !told || *told * 2 >= static_cast<std::int64_t>(jobs);
+bool reports_at_least_half(node_deployment& d, const std::string& node, std::size_t jobs) {
+    const std::optional<std::int64_t> reported = d.pending_count(node);
+    return !reported || *reported * 2 >= static_cast<std::int64_t>(jobs);
 }
 
 void wait_for(node_deployment& d, milliseconds time) {
@@ -31,28 +31,28 @@
     // the inbox (clients_submit_ok_by_store 32 within five seconds) and told their clients that they are
     // accepted. It counted only jobs that it had taken out of there, each by a write of its own.
     struct owner_case {
-        const char* what = "";
+        const char* description = "";
         bool takes_over = false; ///< The jobs lie there before the owner is the owner.
     };
     for (const owner_case& item : {owner_case{"a busy owner", false}, owner_case{"a new owner", true}}) {
-        INFO(std::string(item.what));
+        INFO(std::string(item.description));
         node_deployment d;
         if (item.takes_over) {
-            d.store_in_inbox("a", left_jobs);
+            d.store_in_inbox("a", inbox_job_count);
             d.store.hold_writes("sp/inbox/");
             d.start_node("n1");
         } else {
             d.start_node("n1");
             d.wait_until_serving("n1");
             d.store.hold_writes("sp/inbox/");
-            d.store_in_inbox("a", left_jobs);
+            d.store_in_inbox("a", inbox_job_count);
         }
         // Long enough that the entry's copy of a count from before is too old, and that the owner has read
         // the inbox.
-        wait_for(d, oldest_count);
-        CHECK(tells_of_most(d, "n1", left_jobs));
+        wait_for(d, max_count_age);
+        CHECK(reports_at_least_half(d, "n1", inbox_job_count));
         d.store.hold_writes({});
-        CHECK(d.until([&] { return d.pending_count("n1") == static_cast<std::int64_t>(left_jobs); }));
+        CHECK(d.until([&] { return d.pending_count("n1") == static_cast<std::int64_t>(inbox_job_count); }));
         CHECK(d.until([&] { return d.store.count("sp/inbox/") == 0; }));
     }
 }
@@ -65,12 +65,12 @@
     d.start_node("n1");
     d.wait_until_serving("n1");
     d.store.hold_watches("sp/inbox/");
-    d.store_in_inbox("a", left_jobs);
-    wait_for(d, oldest_count + 500ms);
-    CHECK(tells_of_most(d, "n1", left_jobs));
+    d.store_in_inbox("a", inbox_job_count);
+    wait_for(d, max_count_age + 500ms);
+    CHECK(reports_at_least_half(d, "n1", inbox_job_count));
     CHECK(d.call("n1", "GET", "/quotes/").code == 503);
     d.store.hold_watches({});
-    CHECK(d.until([&] { return d.pending_count("n1") == static_cast<std::int64_t>(left_jobs); }));
+    CHECK(d.until([&] { return d.pending_count("n1") == static_cast<std::int64_t>(inbox_job_count); }));
 }
 
 TEST_CASE("a queue's count is not told by an owner that another may have replaced") {
@@ -80,7 +80,8 @@
     d.start_node("n1");
     d.wait_until_serving("n1");
     d.store.set_silent(true);
-    wait_for(d, oldest_count + 1500ms); // The lease of two seconds is over, the four seconds past it are not.
+    wait_for(d,
+             max_count_age + 1500ms); // The lease of two seconds is over, the four seconds past it are not.
     CHECK(d.call("n1", "GET", "/quotes/").code == 503);
 }
 
@@ -109,14 +110,14 @@
     // owner is busy. A large answer came in by 4 KB a turn of its loop; the watch of the inbox was given up
     // half read and asked again ("watch-failing prefix=sp/inbox/... outcome=unknown", three times from the
     // same revision) while more and more jobs lay there: 313 in the end.
-    constexpr milliseconds busy_turn = 100ms;
+    constexpr milliseconds busy_iteration = 100ms;
     constexpr std::size_t many_jobs = 500;
     node_deployment d;
     d.start_node("n1");
     d.wait_until_serving("n1");
     std::unique_ptr<timer> busy;
     busy = d.loop.make_timer([&] {
-        std::this_thread::sleep_for(busy_turn);
+        std::this_thread::sleep_for(busy_iteration);
         busy->start(0ms);
     });
     busy->start(0ms);
@@ -139,7 +140,7 @@
     d.wait_until_serving("n1");
     d.store.hold_watches("sp/inbox/");
     d.store_in_inbox("a", 1);
-    wait_for(d, oldest_count + 500ms);
+    wait_for(d, max_count_age + 500ms);
     REQUIRE(d.call("n1", "GET", "/quotes/").code == 503); // The copy is known to be old.
     const std::string left = "a000000000000000";
     int refused = 0;
--- a/tests/node/faulty_task_test.cpp
+++ b/tests/node/faulty_task_test.cpp
@@ -11,23 +11,23 @@
 const std::string sound_job = "00000000000000aa";
 
 /// A task is started at most twice more after three VMs have crashed under it.
-constexpr std::size_t most_starts = 5;
+constexpr std::size_t max_starts = 5;
 
 /// Starts of the task that its VMs have seen, and ends of VMs under it.
-struct task_story {
+struct task_run_counts {
     std::size_t starts = 0;
     std::size_t crashes = 0;
 };
 
-task_story story_of(const node_deployment& d, const std::string& task) {
-    task_story story;
+task_run_counts count_task_runs(const node_deployment& d, const std::string& task) {
+    task_run_counts counts;
     for (const auto& machine : d.machines) {
         for (const fakes::vm_run& item : machine->runs()) {
-            story.starts += item.run.task == task ? 1 : 0;
-            story.crashes += item.run.task == task && item.run.how == "crashed" ? 1 : 0;
+            counts.starts += item.run.task == task ? 1 : 0;
+            counts.crashes += item.run.task == task && item.run.how == "crashed" ? 1 : 0;
         }
     }
-    return story;
+    return counts;
 }
 
 } // namespace
@@ -56,16 +56,16 @@
         std::string node = "n1";
         const std::string task = faulty_job + ".0.0.1";
         if (item.owner_killed_after) {
-            REQUIRE(d.until([&] { return story_of(d, task).crashes >= *item.owner_killed_after; }));
+            REQUIRE(d.until([&] { return count_task_runs(d, task).crashes >= *item.owner_killed_after; }));
             d.kill_node("n1");
             d.start_node("n2");
             node = "n2";
         }
         CHECK(d.until([&] {
-            return story_of(d, task).starts > most_starts ||
+            return count_task_runs(d, task).starts > max_starts ||
                    d.call(node, "GET", "/quotes/" + faulty_job).body.find("\"failed\"") != std::string::npos;
         }));
-        CHECK(story_of(d, task).starts <= most_starts);
+        CHECK(count_task_runs(d, task).starts <= max_starts);
         CHECK(d.reaches_phase(node, sound_job, "completed"));
     }
 }
--- a/tests/node/fleet_test.cpp
+++ b/tests/node/fleet_test.cpp
@@ -48,7 +48,7 @@
 }
 
 /// The pool's demand as its owner tells it in the peak of a turn: far more than its two VMs hold.
-node::peer_answer full_pool() {
+node::peer_answer surge_demand() {
     node::peer_answer answer = node::make_answer(node::peer_outcome::ok);
     answer.demand.need_millicores = 64'000;
     answer.demand.retained_millicores = 64'000;
@@ -63,14 +63,14 @@
 }
 
 /// How long those take to answer whom the machines' owner asks.
-struct answer_times {
+struct answer_delays {
     milliseconds owner{20};  ///< Of the pool that needs machines.
     milliseconds list{0};    ///< The platform, for its list of machines.
     bool other_owner = true; ///< Whether the owner of another pool answers at all.
 };
 
 /// Whether a machine is ordered into the pool that needs them.
-bool pool_gets_machines(const answer_times& times) {
+bool pool_gets_machines(const answer_delays& delays) {
     event_loop loop;
     fakes::platform_store store(loop);
     REQUIRE(store.listen({"127.0.0.1", 0}));
@@ -90,7 +90,7 @@
         answers.push_back(loop.make_timer([request, headers, all] {
             request->reply(200, headers, boost::json::serialize(boost::json::object{{"machines", all}}));
         }));
-        answers.back()->start(times.list);
+        answers.back()->start(delays.list);
     });
     REQUIRE(machines.listen({"127.0.0.1", 0}));
     node::node_settings settings;
@@ -108,9 +108,9 @@
     std::unique_ptr<node::membership_task> membership;
     const auto ask_pool = [&](const node::peer_request& request, const node::peer_server::reply& done) {
         if (request.pool == "p") {
-            answers.push_back(loop.make_timer([done] { done(full_pool()); }));
-            answers.back()->start(times.owner);
-        } else if (times.other_owner) {
+            answers.push_back(loop.make_timer([done] { done(surge_demand()); }));
+            answers.back()->start(delays.owner);
+        } else if (delays.other_owner) {
             done(node::make_answer(node::peer_outcome::ok));
         }
     };
--- a/tests/node/inbox_test.cpp
+++ b/tests/node/inbox_test.cpp
@@ -9,7 +9,7 @@
 
 const std::string job_id = "a000000000000000"; ///< What leave_in_inbox("a", 1) leaves.
 const std::string first_id = "b000000000000000";
-constexpr milliseconds patience = 15s;
+constexpr milliseconds wait_timeout = 15s;
 
 /// Sends a submit without waiting for its answer.
 void send_submit(node_deployment& d, const std::string& job, http_answer& answer, bool& done) {
@@ -62,9 +62,9 @@
     CHECK(loop_until(
         d.loop,
         [&] { return d.call("n1", "GET", "/quotes/" + job_id).body.find("completed") != std::string::npos; },
-        patience));
+        wait_timeout));
     CHECK(loop_until(
-        d.loop, [&] { return d.store.count("sp/inbox/") == 0; }, patience));
+        d.loop, [&] { return d.store.count("sp/inbox/") == 0; }, wait_timeout));
 }
 
 TEST_CASE("a job that reached its owner and the inbox counts once and runs once") {
@@ -89,7 +89,7 @@
     CHECK(answer.code == 200);
     REQUIRE(d.reaches_phase("n1", job_id, "completed"));
     CHECK(loop_until(
-        d.loop, [&] { return d.pending_count("n1") == 0 && d.store.count("sp/inbox/") == 0; }, patience));
+        d.loop, [&] { return d.pending_count("n1") == 0 && d.store.count("sp/inbox/") == 0; }, wait_timeout));
     // Forgotten, as after the time for which ended jobs are kept.
     REQUIRE(d.until([&] { return d.store.count("sp/progress/") == 0; }));
     d.store_in_inbox("c", 1);
--- a/tests/node/late_write_test.cpp
+++ b/tests/node/late_write_test.cpp
@@ -7,7 +7,7 @@
 
 const std::string warm_up = "0000000000000001";
 const std::string job_a = "aaaaaaaaaaaaaaaa";
-constexpr milliseconds patience = 15s;
+constexpr milliseconds wait_timeout = 15s;
 
 /// A job of two steps of one task each, the second after the first.
 std::string two_step_body() {
@@ -24,7 +24,7 @@
 }
 
 /// Has run a job, so that the next write to the store is about the next job.
-void serve_and_settle(node_deployment& d) {
+void run_warm_up_job(node_deployment& d) {
     d.serve_with_one_vm(100ms);
     REQUIRE(d.call("n1", "POST", "/quotes/" + warm_up, d.job_body(1)).code == 200);
     REQUIRE(d.reaches_phase("n1", warm_up, "completed"));
@@ -37,7 +37,7 @@
         [&] {
             return d.call(node, "GET", "/quotes/" + job).body.find("\"" + phase + "\"") != std::string::npos;
         },
-        patience);
+        wait_timeout);
 }
 
 } // namespace
@@ -48,13 +48,13 @@
     // its only condition, the owner's claim, still held. The record outlives the memory of the job's end, and
     // the next owner takes it for a job that has not begun.
     node_deployment d;
-    serve_and_settle(d);
+    run_warm_up_job(d);
     d.store.delay_writes(1);
     REQUIRE(d.call("n1", "POST", "/quotes/" + job_a, d.job_body(1)).code == 200);
     REQUIRE(d.reaches_phase("n1", job_a, "completed"));
     REQUIRE(d.until([&] { return d.store.late_writes() == 0; }));
     CHECK(loop_until(
-        d.loop, [&] { return d.store.count("sp/job/p/") == 0; }, patience));
+        d.loop, [&] { return d.store.count("sp/job/p/") == 0; }, wait_timeout));
 }
 
 TEST_CASE("a write of progress that is carried out late does not undo a newer one") {
@@ -63,7 +63,7 @@
     // told; then the older one was carried out, since its only condition, the owner's claim, still held. The
     // next owner reads the older one.
     node_deployment d;
-    serve_and_settle(d);
+    run_warm_up_job(d);
     REQUIRE(d.call("n1", "POST", "/quotes/" + job_a, two_step_body()).code == 200);
     d.store.delay_writes(1); // The next write tells that the first step is done.
     REQUIRE(d.until([&] { return d.store.late_writes() == 1; }));
@@ -80,7 +80,7 @@
     // step was carried out without an answer, and what the owner wrote next held only against what was
     // before.
     node_deployment d;
-    serve_and_settle(d);
+    run_warm_up_job(d);
     REQUIRE(d.call("n1", "POST", "/quotes/" + job_a, two_step_body()).code == 200);
     const std::size_t conflicts = d.store.conflicts();
     d.store.lose_answers(1); // Of the write which tells that the first step is done.
@@ -104,7 +104,7 @@
     d.start_node("n1");
     d.wait_until_serving("n1");
     CHECK(loop_until(
-        d.loop, [&] { return d.store.count("sp/progress/p/") == jobs; }, patience));
+        d.loop, [&] { return d.store.count("sp/progress/p/") == jobs; }, wait_timeout));
     CHECK(d.until([&] { return d.store.count("sp/job/p/") == 0 && d.store.count("sp/inbox/") == 0; }));
     CHECK(d.vms[0]->runs().empty());
 }
@@ -115,7 +115,7 @@
     // The owner's lease had lapsed and it claimed anew; it repeated the write under the old token, was
     // refused by its own claim, and dropped the job, though it did not read the pool's jobs again.
     node_deployment d;
-    serve_and_settle(d);
+    run_warm_up_job(d);
     d.start_node("n2");
     d.wait_until_serving("n2");
     bool claimed = false;
--- a/tests/node/overload_test.cpp
+++ b/tests/node/overload_test.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 /// Hands jobs in until one is refused for load; returns whether one was.
-bool overload(node_deployment& d, const std::string& node) {
+bool submit_until_refused(node_deployment& d, const std::string& node) {
     for (int i = 10; i < 99; ++i) {
         const std::string id = "b0000000000000" + std::to_string(i);
         if (d.call(node, "POST", "/quotes/" + id, d.job_body(4000)).code == 429) {
@@ -27,7 +27,7 @@
     d.wait_until_serving("n1");
     d.start_node("n2");
     d.wait_until_serving("n2");
-    REQUIRE(overload(d, "n2"));
+    REQUIRE(submit_until_refused(d, "n2"));
     d.store.hold_writes("sp/job/");
     d.store_in_inbox("a", 1);
     d.kill_node("n1");
