--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -129,7 +129,7 @@
             std::string(1, static_cast<char>('a' + (i / m_shape.vms_per_rack) % m_shape.zones));
         vm.cores = 32;
         vm.memory_mb = 64'000;
-        vm.boot = 1;
+        vm.boot_count = 1;
         m_fleet.vms.push_back(vm);
         listed_vm item;
         item.id = vm.id;
@@ -137,8 +137,8 @@
         item.rack = vm.rack;
         item.cores = vm.cores;
         item.memory_mb = vm.memory_mb;
-        item.boot = 1;
-        m_seen.listed[vm.id] = item;
+        item.boot_count = 1;
+        m_seen.listed_vms[vm.id] = item;
         m_machines[vm.id] = item;
     }
     assign_first(dealt_pools());
@@ -147,7 +147,7 @@
         m_fleet.put_entry({"e-" + name, name, "127.0.0.1", 1, "127.0.0.1", 2, 1});
     }
     m_fleet.revision = 1;
-    m_seen.list_known = true;
+    m_seen.is_list_known = true;
 }
 
 void fleet_model::assign_first(const std::vector<std::string>& order) {
@@ -163,11 +163,11 @@
     }
     m_counts_stale = true;
     m_away[vm] = m_now + away;
-    m_seen.listed.erase(vm);
+    m_seen.listed_vms.erase(vm);
     schedule(away, event_kind::vm_back, vm);
     for (auto& [pool, table] : m_jobs) {
         for (job_record& job : table.jobs) {
-            if (job.vm == vm && may_run(job.state)) {
+            if (job.vm == vm && may_be_running(job.state)) {
                 m_truth[pool][job.id].runs_since = timestamp{0}; // Work since the last checkpoint is lost.
             }
         }
@@ -212,8 +212,8 @@
         m_away.erase(item.subject);
         const vm_record* vm = m_fleet.find_vm(item.subject);
         listed_vm& machine = m_machines[item.subject];
-        machine.boot = std::max(machine.boot, vm == nullptr ? 0 : vm->boot) + 1;
-        m_seen.listed[item.subject] = machine;
+        machine.boot_count = std::max(machine.boot_count, vm == nullptr ? 0 : vm->boot_count) + 1;
+        m_seen.listed_vms[item.subject] = machine;
         return;
     }
     case event_kind::job_arrives:
@@ -231,11 +231,11 @@
 }
 
 void fleet_model::report() {
-    m_seen.list_read = m_now;
+    m_seen.list_read_at = m_now;
     m_seen.tasks.clear();
     for (const auto& [pool, table] : m_jobs) {
         for (const job_record& job : table.jobs) {
-            if (may_run(job.state)) {
+            if (may_be_running(job.state)) {
                 ++m_seen.tasks[job.vm];
             }
         }
@@ -250,7 +250,7 @@
         entry_report& item = m_seen.entries[entry.id];
         item.incarnation = entry.incarnation;
         item.applied_fleet = m_fleet.revision;
-        item.heard = m_now;
+        item.received_at = m_now;
         item.healthy_vms = healthy;
     }
 }
@@ -286,7 +286,7 @@
     for (const reboot_action& action : plan.reboots) {
         if (is_up(action.vm)) {
             m_away[action.vm] = m_now + reboot_time;
-            m_seen.listed.erase(action.vm);
+            m_seen.listed_vms.erase(action.vm);
             schedule(reboot_time, event_kind::reboot_ends, action.vm);
         }
     }
@@ -324,7 +324,7 @@
     m_wave_left = false;
     for (const vm_record& vm : m_fleet.vms) {
         m_up[vm.pool] += vm.state == vm_state::serving && is_up(vm.id) ? 1 : 0;
-        m_wave_left = m_wave_left || (vm.wave == 0 && vm.state != vm_state::lost);
+        m_wave_left = m_wave_left || (vm.completed_wave == 0 && vm.state != vm_state::lost);
     }
     m_counts_stale = false;
 }
--- a/bench/fleet_model_jobs.cpp
+++ b/bench/fleet_model_jobs.cpp
@@ -65,7 +65,7 @@
     const std::string pool = name.substr(0, name.find('/'));
     const std::string id = name.substr(name.find('/') + 1);
     job_record* job = m_jobs[pool].find(id);
-    if (job == nullptr || job->epoch != epoch || !may_run(job->state) || !is_up(job->vm) ||
+    if (job == nullptr || job->epoch != epoch || !may_be_running(job->state) || !is_up(job->vm) ||
         m_truth[pool][id].runs_since == timestamp{0}) {
         return;
     }
@@ -87,15 +87,15 @@
         truth.left = std::max<milliseconds>(1s, truth.left - (m_now - truth.runs_since));
     }
     truth.runs_since = timestamp{0};
-    (void)enter_task_news(m_jobs[pool],
-                          {{id, static_cast<std::uint32_t>(epoch), task_result::stopped, job->vm}});
+    (void)apply_task_updates(m_jobs[pool],
+                             {{id, static_cast<std::uint32_t>(epoch), task_result::stopped, job->vm}});
 }
 
 bool fleet_model::place(const std::string& pool) {
     std::map<std::string, std::uint32_t> ended;
     bool work = false;
     for (const job_record& job : m_jobs[pool].jobs) {
-        if (!may_run(job.state)) {
+        if (!may_be_running(job.state)) {
             work = work || !has_ended(job.state);
             continue;
         }
--- a/bench/policy_bench.cpp
+++ b/bench/policy_bench.cpp
@@ -14,13 +14,13 @@
     policy_choice choice;
     choice.name = "baseline";
     choice.planning.share_free_vms = false;
-    choice.planning.keep_returned_vm = false;
-    choice.planning.restart_patience = 0ms;
+    choice.planning.keep_replacement_vm = false;
+    choice.planning.replacement_delay = 0ms;
     choice.planning.lend_spares = false;
     choice.planning.first_fit = true;
     choice.placing.first_fit = true;
-    choice.placing.move_all = true;
-    choice.placing.avoid_due = false;
+    choice.placing.stop_all_on_leaving_vm = true;
+    choice.placing.avoid_pending_wave = false;
     choice.own_spare_percent = 10;
     choice.own_spare_least = 2;
     return choice;
@@ -30,7 +30,7 @@
 policy_choice association(const fleet_shape& shape) {
     policy_choice choice;
     choice.name = "association";
-    choice.planning = options_for({4, 1});
+    choice.planning = planner_options_for({4, 1});
     choice.own_spare_least = 1;
     choice.shared_free = shape.vms / 60;
     choice.width_percent = 10;
@@ -42,7 +42,7 @@
 policy_choice volta(const fleet_shape& shape) {
     policy_choice choice = association(shape);
     choice.name = "volta";
-    choice.planning = options_for({1, 4});
+    choice.planning = planner_options_for({1, 4});
     choice.placing = placement_options_for({1, 4});
     choice.own_spare_least = 2;
     return choice;
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -191,7 +191,7 @@
         sleep(window);
         const fleet_record record = fleet();
         const auto done = std::count_if(record.vms.begin(), record.vms.end(),
-                                        [](const vm_record& vm) { return vm.wave == 1; });
+                                        [](const vm_record& vm) { return vm.completed_wave == 1; });
         const double seconds = static_cast<double>(window.count()) / 1000;
         std::printf(" wave with instant reboots under way, 40 s: %lld VMs maintained, %llu fleet revisions\n",
                     static_cast<long long>(done),
@@ -279,7 +279,7 @@
     config = parse_configuration(1, stored.document, problems);
     fleet_record fleet;
     observations seen;
-    seen.list_known = true;
+    seen.is_list_known = true;
     for (int i = 0; i < vms; ++i) {
         vm_record vm;
         vm.id = "w" + std::to_string(10'000 + i);
@@ -290,9 +290,9 @@
         vm.memory_mb = 64'000;
         vm.pool = "p" + std::to_string(i % pools);
         vm.state = vm_state::serving;
-        vm.boot = 1;
-        seen.listed[vm.id].id = vm.id;
-        seen.listed[vm.id].boot = 1;
+        vm.boot_count = 1;
+        seen.listed_vms[vm.id].id = vm.id;
+        seen.listed_vms[vm.id].boot_count = 1;
         fleet.vms.push_back(vm);
     }
     for (int i = 0; i < 8; ++i) {
@@ -323,9 +323,9 @@
     timestamp now{1s};
     const auto step = [&] {
         now += 1ms;
-        seen.list_read = now;
+        seen.list_read_at = now;
         for (auto& [id, report] : seen.entries) {
-            report.heard = now;
+            report.received_at = now;
         }
         (void)planning.step(config, fleet, seen, now);
     };
--- a/control/claim_task.cpp
+++ b/control/claim_task.cpp
@@ -49,7 +49,7 @@
 std::size_t claim_task::remembered() const {
     std::size_t lines = 0;
     for (const shard& item : m_shards) {
-        lines += item.log.remembered();
+        lines += item.log.line_count();
     }
     return lines;
 }
@@ -103,16 +103,16 @@
 void claim_task::load_missing(std::size_t index) {
     shard& item = m_shards[index];
     std::uint64_t generation = 0;
-    if (!item.log.missing_generation(generation)) {
+    if (!item.log.find_missing_generation(generation)) {
         item.loaded = true;
-        item.log.forget(event_loop::now());
+        item.log.remove_expired(event_loop::now());
         decide(index);
         return;
     }
     m_platform.get(closed_key(index, generation), [this, index, generation](const store_answer& answer) {
         shard& loading = m_shards[index];
         if (answer.status == store_status::absent) {
-            loading.log.skip_closed(generation, event_loop::now());
+            loading.log.skip_generation(generation, event_loop::now());
         } else if (const auto log = answer.status == store_status::ok ? read_log(answer) : std::nullopt) {
             loading.log.add_closed(generation, log->lines, event_loop::now());
         } else {
@@ -131,10 +131,10 @@
     std::vector<std::pair<callback, claim_answer>> decided;
     claim_shard after = item.log;
     for (pending& claim : item.waiting) {
-        const auto verdict = after.look(claim.key, claim.nonce);
-        if (verdict == claim_shard::verdict::mine) {
+        const auto verdict = after.check_claim(claim.key, claim.nonce);
+        if (verdict == claim_shard::claim_state::held_by_attempt) {
             decided.emplace_back(std::move(claim.done), claim_answer::granted);
-        } else if (verdict == claim_shard::verdict::taken) {
+        } else if (verdict == claim_shard::claim_state::held_by_other) {
             decided.emplace_back(std::move(claim.done), claim_answer::taken);
         } else if (claim.deadline <= now) {
             decided.emplace_back(std::move(claim.done), claim_answer::unavailable);
@@ -142,13 +142,14 @@
             const claim_entry line{claim.key.first, claim.key.second, claim.nonce, false};
             lines.push_back(line);
             // Two requests with one key in one batch: the second must see the first.
-            after.set_open(after.with({line}), after.version());
+            after.set_open(after.make_log_with({line}), after.version());
             undecided.push_back(std::move(claim));
         }
     }
     item.waiting = std::move(undecided);
     std::erase_if(item.releases, [&after](const claim_entry& release) {
-        return after.look({release.key_high, release.key_low}, release.nonce) != claim_shard::verdict::mine;
+        return after.check_claim({release.key_high, release.key_low}, release.nonce) !=
+               claim_shard::claim_state::held_by_attempt;
     });
     lines.insert(lines.end(), item.releases.begin(), item.releases.end());
     if (lines.empty()) {
@@ -159,7 +160,7 @@
     } else if (item.log.must_close()) {
         roll(index);
     } else {
-        write(index, item.log.with(lines));
+        write(index, item.log.make_log_with(lines));
     }
     for (auto& [done, answer] : decided) {
         done(answer);
@@ -177,7 +178,7 @@
     // Whoever writes it writes the same lines, so finding it there already is as good.
     const std::uint64_t closing = item.log.open().generation - 1;
     const claim_log closed{closing, item.log.open().previous, {}};
-    m_platform.put(closed_key(index, closing), 0, encode_claim_log(closed), claim_window,
+    m_platform.put(closed_key(index, closing), 0, encode_claim_log(closed), claim_retention,
                    [this, index, next, closed](const store_answer& answer) {
                        if (answer.status != store_status::ok && answer.status != store_status::conflict) {
                            m_shards[index].loaded = false;
--- a/control/claim_task.hpp
+++ b/control/claim_task.hpp
@@ -64,7 +64,7 @@
     platform_client& m_platform;
     metrics& m_metrics;
     random_source m_random;
-    std::array<shard, claim_shards> m_shards;
+    std::array<shard, claim_shard_count> m_shards;
 };
 
 } // namespace siskinpaddle
--- a/control/health_task.cpp
+++ b/control/health_task.cpp
@@ -23,7 +23,7 @@
     std::set<std::string> vms;
     for (const auto& [id, since] : m_passed) {
         const vm_record* vm = m_state.fleet().find_vm(id);
-        if (vm != nullptr && vm->state == vm_state::returning && vm->since == since) {
+        if (vm != nullptr && vm->state == vm_state::returning && vm->state_revision == since) {
             vms.insert(id);
         }
     }
@@ -40,7 +40,7 @@
         }
     }
     for (const vm_record& vm : m_state.fleet().vms) {
-        const bool ours = entry_in_charge(m_state.fleet(), vm, silent) == m_settings.id;
+        const bool ours = find_responsible_entry(m_state.fleet(), vm, silent) == m_settings.id;
         const bool returning = vm.state == vm_state::returning && ours;
         const bool doubted = vm.state == vm_state::serving && suspects.contains(vm.id) &&
                              vm.availability_zone == m_settings.availability_zone;
@@ -52,7 +52,7 @@
     }
     std::erase_if(m_passed, [this](const auto& item) {
         const vm_record* vm = m_state.fleet().find_vm(item.first);
-        return vm == nullptr || vm->since != item.second;
+        return vm == nullptr || vm->state_revision != item.second;
     });
     m_timer->start(tick_interval);
 }
@@ -67,10 +67,10 @@
     call.target = "/health";
     call.timeout = check_timeout;
     call.fresh_connection = true;
-    m_client.send(std::move(call), [this, id = vm.id, since = vm.since](const http_answer& answer) {
+    m_client.send(std::move(call), [this, id = vm.id, since = vm.state_revision](const http_answer& answer) {
         m_checking.erase(id);
         const vm_record* current = m_state.fleet().find_vm(id);
-        if (current == nullptr || current->since != since) {
+        if (current == nullptr || current->state_revision != since) {
             return;
         }
         // A target that still runs another pool's services is not healthy for this one.
--- a/control/planner_task.cpp
+++ b/control/planner_task.cpp
@@ -95,18 +95,18 @@
         const timestamp now = event_loop::now();
         m_next_list = now + list_interval;
         if (status == store_status::unchanged) {
-            m_seen.list_read = now;
+            m_seen.list_read_at = now;
         }
         if (status != store_status::ok) {
             return;
         }
-        m_bytes.spend(static_cast<std::int64_t>(m_platform.list_bytes()));
-        m_seen.list_known = true;
-        m_seen.list_read = now;
-        m_seen.listed.clear();
+        m_bytes.consume(static_cast<std::int64_t>(m_platform.list_bytes()));
+        m_seen.is_list_known = true;
+        m_seen.list_read_at = now;
+        m_seen.listed_vms.clear();
         for (listed_vm& vm : vms) {
             const std::string id = vm.id;
-            m_seen.listed.emplace(id, std::move(vm));
+            m_seen.listed_vms.emplace(id, std::move(vm));
         }
     });
 }
@@ -115,7 +115,7 @@
     m_seen.tasks.clear();
     for (const auto& [pool, settings] : m_state.config().pools) {
         for (const job_record& job : m_state.values().jobs(pool).jobs) {
-            if (may_run(job.state)) {
+            if (may_be_running(job.state)) {
                 ++m_seen.tasks[job.vm];
             }
         }
@@ -130,7 +130,7 @@
     m_seen.entries = m_state.reports();
     count_tasks();
     note_ended_tasks(now);
-    m_planner.set_options(options_for(m_state.config().weights));
+    m_planner.set_options(planner_options_for(m_state.config().weights));
     fleet_record fleet = m_state.fleet();
     fleet.planner = m_settings.id;
     fleet_plan plan = m_planner.step(m_state.config(), fleet, m_seen, now);
@@ -170,7 +170,7 @@
     next.write_id =
         m_settings.id + "-" + std::to_string(m_state.incarnation()) + "-" + std::to_string(next.revision);
     const std::string bytes = encode_fleet(next);
-    m_bytes.spend(copies_of_a_write * static_cast<std::int64_t>(bytes.size()));
+    m_bytes.consume(copies_of_a_write * static_cast<std::int64_t>(bytes.size()));
     m_platform.put(
         std::string(fleet_value), m_state.values().store_version(fleet_value), bytes, milliseconds{0},
         [this, bytes, revision = next.revision](const store_answer& answer) {
@@ -210,7 +210,7 @@
     m_ended_tasks.clear();
     for (const auto& [id, count] : m_seen.tasks) {
         const vm_record* vm = m_state.fleet().find_vm(id);
-        if (vm == nullptr || !entries_behind(m_state.fleet(), m_seen, vm->since).empty()) {
+        if (vm == nullptr || !find_entries_behind(m_state.fleet(), m_seen, vm->state_revision).empty()) {
             continue;
         }
         const auto known = m_grace_since.find(id);
@@ -230,7 +230,7 @@
             continue;
         }
         for (const job_record& job : m_state.values().jobs(pool).jobs) {
-            if (may_run(job.state)) {
+            if (may_be_running(job.state)) {
                 use[job.team].cpu_millicores += job.size.cpu_millicores;
                 use[job.team].accelerators += job.size.accelerators;
             }
@@ -250,10 +250,10 @@
 void planner_task::place_pool(const std::string& pool) {
     const job_table& table = m_state.values().jobs(pool);
     const timestamp now = event_loop::now();
-    for (const std::string& vm : m_workers.look(pool, table, now)) {
+    for (const std::string& vm : m_workers.update(pool, table, now)) {
         log_event(event_id::worker_set_aside, {{"vm", vm}, {"pool", pool}});
     }
-    m_usage.look(pool, table);
+    m_usage.update_from_table(pool, table);
     const placement_input input{m_state.config(),
                                 m_state.fleet(),
                                 pool,
--- a/control/planner_task.hpp
+++ b/control/planner_task.hpp
@@ -51,7 +51,7 @@
     planner m_planner;
     planner_summary m_summary;
     observations m_seen;
-    worker_watch m_workers;
+    worker_health_tracker m_workers;
     usage_estimates m_usage;
     std::map<std::string, std::uint32_t> m_ended_tasks;
     std::map<std::string, std::pair<std::uint32_t, timestamp>> m_grace_since;
--- a/control/runner_task.cpp
+++ b/control/runner_task.cpp
@@ -64,8 +64,8 @@
     for (const auto& [pool, settings] : m_state.config().pools) {
         std::map<std::string, std::vector<task_call>> calls;
         for (const job_record& job : m_state.values().jobs(pool).jobs) {
-            const vm_record* vm = may_run(job.state) ? m_state.fleet().find_vm(job.vm) : nullptr;
-            if (vm != nullptr && entry_in_charge(m_state.fleet(), *vm, silent) == m_settings.id) {
+            const vm_record* vm = may_be_running(job.state) ? m_state.fleet().find_vm(job.vm) : nullptr;
+            if (vm != nullptr && find_responsible_entry(m_state.fleet(), *vm, silent) == m_settings.id) {
                 calls[job.vm].push_back(call_for(job, *vm));
             }
         }
@@ -98,19 +98,19 @@
 void runner_task::enter(const std::string& pool) {
     // What the table says already is no news; most reports only say that a task still runs.
     job_table known = m_state.values().jobs(pool);
-    if (!enter_task_news(known, m_news[pool])) {
+    if (!apply_task_updates(known, m_news[pool])) {
         m_news[pool].clear();
         return;
     }
     if (!m_entering.insert(pool).second) {
         return;
     }
-    const std::vector<task_news> news = std::move(m_news[pool]);
+    const std::vector<task_update> news = std::move(m_news[pool]);
     m_news[pool].clear();
     const std::string name = std::string(jobs_prefix) + pool;
     const auto change = [news](const stored_value& current) -> std::optional<std::string> {
         std::optional<job_table> table = read_table(current);
-        if (!table || !enter_task_news(*table, news)) {
+        if (!table || !apply_task_updates(*table, news)) {
             return std::nullopt;
         }
         return encode_jobs(*table);
@@ -123,7 +123,7 @@
             return; // The workers say it again with the next call.
         }
         m_state.adopt(name, answer.value);
-        for (const task_news& item : news) {
+        for (const task_update& item : news) {
             if (item.result != task_result::running) {
                 log_event(event_id::task_reported, {{"pool", pool},
                                                     {"job", item.job},
--- a/control/runner_task.hpp
+++ b/control/runner_task.hpp
@@ -28,8 +28,8 @@
     state_task& m_state;
     worker_client& m_workers;
     metrics& m_metrics;
-    std::set<std::string> m_calling;                      ///< VMs with a call under way.
-    std::map<std::string, std::vector<task_news>> m_news; ///< Per pool, not yet in the store.
+    std::set<std::string> m_calling;                        ///< VMs with a call under way.
+    std::map<std::string, std::vector<task_update>> m_news; ///< Per pool, not yet in the store.
     std::set<std::string> m_entering;
     std::unique_ptr<timer> m_timer;
 };
--- a/control/state_task.cpp
+++ b/control/state_task.cpp
@@ -20,7 +20,7 @@
     };
     report.applied_config = revision(config_value);
     report.applied_fleet = revision(fleet_value);
-    report.heard = now;
+    report.received_at = now;
     report.busy_vms = message.busy_vms;
     report.suspect_vms = message.suspect_vms;
     report.healthy_vms = message.healthy_vms;
@@ -33,7 +33,7 @@
     : m_loop(loop), m_settings(settings), m_platform(platform),
       m_peers(loop, settings.peer_key,
               {[this](const heartbeat& message) { hear(message); },
-               [this](const value_request& request) { return m_replica.answer(request); }}),
+               [this](const value_request& request) { return m_replica.build_reply(request); }}),
       m_random(hash64(settings.id) ^ std::random_device()()),
       m_incarnation(static_cast<std::uint64_t>(wall_clock_ms())),
       m_ticker(loop.make_timer([this] { tick(); })) {}
@@ -86,9 +86,9 @@
         return;
     }
     const heartbeat message = own_heartbeat();
-    std::vector<entry_record> peers = heartbeat_peers(fleet(), m_settings.id, m_tick);
+    std::vector<entry_record> peers = select_heartbeat_peers(fleet(), m_settings.id, m_tick);
     if (news) {
-        for (const entry_record& peer : news_peers(fleet(), m_settings.id)) {
+        for (const entry_record& peer : select_peers_to_notify(fleet(), m_settings.id)) {
             peers.push_back(peer);
         }
     }
@@ -104,7 +104,7 @@
     const timestamp now = event_loop::now();
     m_heard[message.id] = now;
     m_reports[message.id] = to_report(message, now);
-    if (m_replica.lacks(message.revisions)) {
+    if (m_replica.is_behind(message.revisions)) {
         pull_from({message.address, message.peer_port});
     }
 }
@@ -128,31 +128,31 @@
 
 void state_task::take(const value_reply& reply) {
     for (const value_transfer& transfer : reply.values) {
-        const offer_result result = m_replica.offer_transfer(transfer);
+        const apply_result result = m_replica.apply_transfer(transfer);
         report_offer(transfer.name, result, transfer.revision);
     }
 }
 
 void state_task::adopt(const std::string& name, const stored_value& value) {
-    const offer_result result = m_replica.offer_stored(name, value.bytes, value.version);
+    const apply_result result = m_replica.apply_stored(name, value.bytes, value.version);
     report_offer(name, result, value.version);
 }
 
-void state_task::report_offer(const std::string& name, offer_result result, std::uint64_t revision) {
+void state_task::report_offer(const std::string& name, apply_result result, std::uint64_t revision) {
     const bool is_config = name == config_value;
     switch (result) {
-    case offer_result::taken:
+    case apply_result::applied:
         changed(name);
         return;
-    case offer_result::older:
+    case apply_result::older:
         log_event(is_config ? event_id::config_older_refused : event_id::fleet_older_refused,
                   {{"value", name}, {"offered", revision}, {"in_force", m_replica.revision(name)}});
         return;
-    case offer_result::damaged:
+    case apply_result::damaged:
         log_event(is_config ? event_id::config_damaged : event_id::fleet_damaged, {{"value", name}});
         return;
-    case offer_result::same:
-    case offer_result::wrong_base:
+    case apply_result::same:
+    case apply_result::wrong_base:
         return;
     }
 }
@@ -255,7 +255,7 @@
 }
 
 std::set<std::string> state_task::silent() const {
-    return silent_peers(fleet(), m_heard, m_settings.id, event_loop::now());
+    return find_silent_peers(fleet(), m_heard, m_settings.id, event_loop::now());
 }
 
 void state_task::probe_silent() {
@@ -267,9 +267,9 @@
                 // Registered, but never heard: the proof is about the registered incarnation.
                 report = {};
                 report.incarnation = record.incarnation;
-                report.heard = event_loop::now();
+                report.received_at = event_loop::now();
             }
-            report.process_gone = refused && report.incarnation == record.incarnation;
+            report.has_process_ended = refused && report.incarnation == record.incarnation;
         });
     }
 }
--- a/control/state_task.hpp
+++ b/control/state_task.hpp
@@ -55,7 +55,7 @@
     void raise_incarnation(std::uint64_t above);
     [[nodiscard]] bool registered() const;
     void set_ready(bool ready) { m_ready = ready; }
-    void cut_peers(bool cut) { m_peers.set_cut(cut); }
+    void cut_peers(bool cut) { m_peers.set_partitioned(cut); }
 
     [[nodiscard]] const peer_usage& usage() const noexcept { return m_peers.usage(); }
     [[nodiscard]] std::uint64_t peer_bytes() const noexcept { return m_peers.bytes_sent(); }
@@ -73,7 +73,7 @@
     void hear(const heartbeat& message);
     void pull_from(const endpoint& peer, std::function<void(bool)> done = {});
     void take(const value_reply& reply);
-    void report_offer(const std::string& name, offer_result result, std::uint64_t revision);
+    void report_offer(const std::string& name, apply_result result, std::uint64_t revision);
     void changed(const std::string& name);
     void keep_watches();
     void watch(const std::string& name);
--- a/demo/session.cpp
+++ b/demo/session.cpp
@@ -217,7 +217,7 @@
             return false;
         }
         for (const vm_record& vm : m_ledger.fleet().vms) {
-            if (vm.pool == "seats" && (vm.wave < 1 || vm.state != vm_state::serving)) {
+            if (vm.pool == "seats" && (vm.completed_wave < 1 || vm.state != vm_state::serving)) {
                 return false;
             }
         }
--- a/gateway/caller_gateway.cpp
+++ b/gateway/caller_gateway.cpp
@@ -57,16 +57,16 @@
 }
 
 void caller_gateway::on_health(const std::string& vm, bool good) {
-    m_targets.on_health(vm, good, event_loop::now());
+    m_targets.on_health_check(vm, good, event_loop::now());
 }
 
 void caller_gateway::apply_values() {
     m_targets.apply(m_state.config(), m_state.fleet(), event_loop::now());
-    m_admission.set_members(
+    m_admission.set_member_count(
         std::max<std::int64_t>(1, static_cast<std::int64_t>(m_state.config().members.size())));
-    for (const std::string& pool : m_admission.waiting_pools()) {
+    for (const std::string& pool : m_admission.pools_with_waiting()) {
         if (!m_targets.has_target(pool)) {
-            for (const std::uint64_t id : m_admission.drain_queue(pool)) {
+            for (const std::uint64_t id : m_admission.remove_waiting(pool)) {
                 give_up(id, answer_code::no_target);
             }
         }
@@ -83,7 +83,7 @@
         m_state.refresh([this](bool answered) {
             m_refreshing = false;
             if (answered && m_state.registered()) {
-                m_pauses.refreshed();
+                m_pauses.mark_refreshed();
             }
         });
     }
@@ -92,10 +92,10 @@
 
 void caller_gateway::tick() {
     (void)paused();
-    for (const std::uint64_t id : m_admission.expire(event_loop::now())) {
+    for (const std::uint64_t id : m_admission.remove_expired(event_loop::now())) {
         give_up(id, answer_code::deadline_passed_in_queue);
     }
-    for (const std::string& pool : m_admission.waiting_pools()) {
+    for (const std::string& pool : m_admission.pools_with_waiting()) {
         pump(pool);
     }
     m_timer->start(tick_interval);
@@ -168,15 +168,15 @@
     m_budgets.try_emplace(request.pool, static_cast<double>(m_settings.retry_percent) / 100);
     m_budgets.at(request.pool).on_request();
     const admission_verdict verdict =
-        m_admission.offer({request.id, request.pool, request.member, request.deadline}, load_of(request.pool),
+        m_admission.admit({request.id, request.pool, request.member, request.deadline}, load_of(request.pool),
                           event_loop::now());
-    if (verdict.step == admission_step::refuse) {
+    if (verdict.action == admission_action::refuse) {
         reply_own(*request.from, verdict.code, verdict.retry_after_s, request.id);
         return;
     }
     const std::uint64_t id = request.id;
     m_requests.emplace(id, std::move(request));
-    if (verdict.step == admission_step::send) {
+    if (verdict.action == admission_action::send) {
         dispatch(id);
     }
 }
@@ -184,7 +184,7 @@
 void caller_gateway::pump(const std::string& pool) {
     while (m_admission.has_waiting(pool) &&
            m_targets.in_flight(pool) < m_targets.capacity(pool, event_loop::now())) {
-        const auto id = m_admission.take(pool, event_loop::now());
+        const auto id = m_admission.pop_waiting(pool, event_loop::now());
         if (!id) {
             return;
         }
@@ -244,7 +244,7 @@
 void caller_gateway::send(caller_request& request) {
     const timestamp now = event_loop::now();
     // The claim took time: the VM may have been cordoned, or given to a rival, since it was chosen.
-    if (!m_targets.still_valid(*request.target, request.pool)) {
+    if (!m_targets.is_still_valid(*request.target, request.pool)) {
         m_targets.on_finished(request.target->vm, attempt_result::answered, now);
         request.tried.insert(request.target->vm);
         dispatch(request.id);
@@ -280,15 +280,15 @@
     m_targets.on_finished(request.target->vm, result, now);
     retry_budget& budget = m_budgets.at(request.pool);
     const attempt_verdict verdict =
-        decide_after({result, request.repeatable, request.sent_before, request.attempts,
-                      request.deadline - now, budget.available() && !paused()});
-    request.sent_before = request.sent_before || !certainly_not_run(result);
+        decide_next_step({result, request.repeatable, request.sent_before, request.attempts,
+                          request.deadline - now, budget.can_retry() && !paused()});
+    request.sent_before = request.sent_before || !is_confirmed_not_run(result);
     switch (verdict.step) {
     case next_step::deliver:
         deliver(request, answer);
         return;
     case next_step::retry:
-        budget.spend();
+        budget.consume();
         retry(request, result);
         return;
     case next_step::give_up:
@@ -333,10 +333,10 @@
     }
     caller_request& request = found->second;
     answer_code told = code;
-    if (request.sent_before && rule_for(code).result == outcome::not_run) {
+    if (request.sent_before && find_answer_rule(code).result == outcome::not_run) {
         told = answer_code::target_reset; // An earlier attempt may have run it.
     }
-    if (request.claimed && rule_for(told).result == outcome::not_run) {
+    if (request.claimed && find_answer_rule(told).result == outcome::not_run) {
         m_claims.release(*request.key, request.nonce);
         log_event(event_id::claim_released, {{"request", id}});
     }
@@ -348,7 +348,7 @@
 void caller_gateway::finish(std::uint64_t id, milliseconds service_time) {
     const auto found = m_requests.find(id);
     const std::string pool = found->second.pool;
-    m_admission.finished(pool, found->second.member, service_time);
+    m_admission.record_finished(pool, found->second.member, service_time);
     m_requests.erase(found);
     m_loop.post([this, alive = m_lifetime.weak_token(), pool] {
         if (!alive.expired()) {
@@ -358,7 +358,7 @@
 }
 
 void caller_gateway::reply_own(server_request& from, answer_code code, int retry_after_s, std::uint64_t id) {
-    const answer_rule& rule = rule_for(code);
+    const answer_rule& rule = find_answer_rule(code);
     http_headers headers;
     headers.add("Content-Type", "application/json");
     headers.add(outcome_header, std::string(name_of(rule.result)));
--- a/gateway/caller_gateway.hpp
+++ b/gateway/caller_gateway.hpp
@@ -58,7 +58,7 @@
     http_server m_server;
     http_client m_client;
     target_table m_targets;
-    admission m_admission;
+    admission_controller m_admission;
     pause_detector m_pauses;
     random_source m_random;
     std::map<std::string, retry_budget> m_budgets;
--- a/gateway/operator_gateway.cpp
+++ b/gateway/operator_gateway.cpp
@@ -116,7 +116,7 @@
     if (problems.empty()) {
         json_object root(body, "", problems);
         patch.member = member;
-        patch.against = static_cast<std::uint64_t>(root.number("against", {1, INT64_MAX}));
+        patch.base_number = static_cast<std::uint64_t>(root.number("against", {1, INT64_MAX}));
         patch.write_id = root.text("write_id");
         if (const auto* merge = root.child("patch")) {
             patch.merge_patch = *merge;
@@ -210,7 +210,7 @@
     const std::string wanted = query_parameter(from->target(), "number");
     const std::uint64_t number =
         wanted.empty() ? m_state.config().number : std::strtoull(wanted.c_str(), nullptr, 10);
-    const boost::json::value* document = m_state.values().document(number);
+    const boost::json::value* document = m_state.values().find_document(number);
     if (document == nullptr) {
         reply_error(*from, 404, "this entry does not remember that number");
         return;
@@ -390,7 +390,7 @@
                 refusal = same ? "" : "another job has this id";
                 return false; // The same submission again, after a lost answer: it is held already.
             }
-            if (table.jobs.size() >= most_jobs_of_pool) {
+            if (table.jobs.size() >= max_jobs_per_pool) {
                 refusal = "the pool holds as many jobs as it may";
                 return false;
             }
@@ -422,7 +422,7 @@
             if (has_ended(job->state) || job->state == job_state::cancelling) {
                 return false;
             }
-            job->state = may_run(job->state) ? job_state::cancelling : job_state::cancelled;
+            job->state = may_be_running(job->state) ? job_state::cancelling : job_state::cancelled;
             job->reason = "cancelled by its owner";
             return true;
         },
--- a/gateway/operator_reports.cpp
+++ b/gateway/operator_reports.cpp
@@ -35,7 +35,7 @@
                              {"availability_zone", vm.availability_zone},
                              {"rack", vm.rack},
                              {"epoch", vm.epoch},
-                             {"wave", vm.wave}});
+                             {"wave", vm.completed_wave}});
         }
     }
     return items;
@@ -70,10 +70,10 @@
             if (wave.pool != "*" && vm.pool != wave.pool) {
                 continue;
             }
-            const bool under_way = vm.goal_wave == order;
+            const bool under_way = vm.active_wave == order;
             out += under_way ? 1 : 0;
-            done += vm.wave >= order ? 1 : 0;
-            left += vm.wave < order && !under_way ? 1 : 0;
+            done += vm.completed_wave >= order ? 1 : 0;
+            left += vm.completed_wave < order && !under_way ? 1 : 0;
         }
         boost::json::array reasons;
         for (const plan_wait& wait : waits) {
--- a/peer/fanout.cpp
+++ b/peer/fanout.cpp
@@ -6,23 +6,23 @@
 
 namespace {
 
-constexpr std::size_t zone_neighbours = 2;
+constexpr std::size_t zone_neighbour_count = 2;
 
-void add_once(std::vector<entry_record>& peers, const entry_record& entry, const std::string& self) {
-    const bool known = std::any_of(peers.begin(), peers.end(),
-                                   [&entry](const entry_record& peer) { return peer.id == entry.id; });
-    if (!known && entry.id != self) {
+void add_if_absent(std::vector<entry_record>& peers, const entry_record& entry, const std::string& self) {
+    const bool is_present = std::any_of(peers.begin(), peers.end(),
+                                        [&entry](const entry_record& peer) { return peer.id == entry.id; });
+    if (!is_present && entry.id != self) {
         peers.push_back(entry);
     }
 }
 
 } // namespace
 
-std::vector<entry_record> heartbeat_peers(const fleet_record& fleet, const std::string& self,
-                                          std::uint64_t tick) {
+std::vector<entry_record> select_heartbeat_peers(const fleet_record& fleet, const std::string& self,
+                                                 std::uint64_t tick) {
     std::vector<entry_record> peers;
     if (const entry_record* planner = fleet.find_entry(fleet.planner)) {
-        add_once(peers, *planner, self);
+        add_if_absent(peers, *planner, self);
     }
     const entry_record* own = fleet.find_entry(self);
     std::vector<const entry_record*> zone;
@@ -33,36 +33,38 @@
     }
     const auto position = std::find(zone.begin(), zone.end(), own);
     const auto offset = static_cast<std::size_t>(position - zone.begin());
-    for (std::size_t i = 1; i <= zone_neighbours && i < zone.size(); ++i) {
-        add_once(peers, *zone[(offset + i) % zone.size()], self);
+    for (std::size_t i = 1; i <= zone_neighbour_count && i < zone.size(); ++i) {
+        add_if_absent(peers, *zone[(offset + i) % zone.size()], self);
     }
     if (!fleet.entries.empty()) {
         // Each entry begins elsewhere, so that one tick's turns don't all meet at the same peer.
         const std::uint64_t start = hash64(self);
-        add_once(peers, fleet.entries[(start + tick) % fleet.entries.size()], self);
+        add_if_absent(peers, fleet.entries[(start + tick) % fleet.entries.size()], self);
     }
     return peers;
 }
 
-std::vector<entry_record> news_peers(const fleet_record& fleet, const std::string& self) {
+std::vector<entry_record> select_peers_to_notify(const fleet_record& fleet, const std::string& self) {
     std::vector<entry_record> peers;
     const entry_record* own = fleet.find_entry(self);
     std::set<std::string> zones;
     for (const entry_record& entry : fleet.entries) {
         const bool same_zone = own != nullptr && entry.availability_zone == own->availability_zone;
         if (same_zone || zones.insert(entry.availability_zone).second) {
-            add_once(peers, entry, self);
+            add_if_absent(peers, entry, self);
         }
     }
     return peers;
 }
 
-std::set<std::string> silent_peers(const fleet_record& fleet, const std::map<std::string, timestamp>& heard,
-                                   const std::string& self, timestamp now) {
+std::set<std::string> find_silent_peers(const fleet_record& fleet,
+                                        const std::map<std::string, timestamp>& last_heartbeats,
+                                        const std::string& self, timestamp now) {
     std::set<std::string> silent;
     for (const entry_record& entry : fleet.entries) {
-        const auto last = heard.find(entry.id);
-        if (entry.id != self && (last == heard.end() || now - last->second > peer_silence_bound)) {
+        const auto last = last_heartbeats.find(entry.id);
+        if (entry.id != self &&
+            (last == last_heartbeats.end() || now - last->second > peer_silence_timeout)) {
             silent.insert(entry.id);
         }
     }
@@ -82,8 +84,8 @@
     return true;
 }
 
-std::string entry_in_charge(const fleet_record& fleet, const vm_record& vm,
-                            const std::set<std::string>& silent) {
+std::string find_responsible_entry(const fleet_record& fleet, const vm_record& vm,
+                                   const std::set<std::string>& silent) {
     std::string chosen;
     std::uint64_t best = 0;
     bool chosen_is_local = false;
--- a/peer/messages.hpp
+++ b/peer/messages.hpp
@@ -39,11 +39,11 @@
 /// Asks a peer for newer values than those listed.
 struct value_request {
     std::string from;
-    std::map<std::string, std::uint64_t> have;
+    std::map<std::string, std::uint64_t> known_revisions;
 
     template <typename Archive>
     void serialize(Archive& archive) {
-        archive(from, have);
+        archive(from, known_revisions);
     }
 };
 
--- a/peer/peer_task.cpp
+++ b/peer/peer_task.cpp
@@ -9,7 +9,7 @@
 
 /// Decodes a message that has passed its seal, or nothing when it is damaged.
 template <typename Message>
-std::optional<Message> open_message(std::string_view key, message_kind kind, std::string_view sealed) {
+std::optional<Message> unseal_message(std::string_view key, message_kind kind, std::string_view sealed) {
     const auto body = unseal(key, kind, sealed);
     if (!body) {
         return std::nullopt;
@@ -26,31 +26,31 @@
 
 peer_task::peer_task(event_loop& loop, std::string key, handlers on_message)
     : m_key(std::move(key)), m_handlers(std::move(on_message)),
-      m_udp(loop, [this](std::string_view datagram, const endpoint&) { receive(datagram); }),
-      m_server(loop, [this](std::string_view frame) { return answer(frame); }), m_client(loop) {}
+      m_udp(loop, [this](std::string_view datagram, const endpoint&) { handle_heartbeat(datagram); }),
+      m_server(loop, [this](std::string_view frame) { return handle_request(frame); }), m_client(loop) {}
 
 bool peer_task::listen(const endpoint& where) {
     return m_server.listen(where) && m_udp.bind(where);
 }
 
 void peer_task::send(const heartbeat& message, const endpoint& to) {
-    if (m_cut) {
+    if (m_is_partitioned) {
         return;
     }
     ++m_usage.heartbeats_sent;
     m_udp.send(seal(m_key, message_kind::heartbeat, encode_archive(message)), to);
 }
 
-void peer_task::receive(std::string_view datagram) {
-    if (m_cut) {
+void peer_task::handle_heartbeat(std::string_view datagram) {
+    if (m_is_partitioned) {
         return;
     }
-    const auto message = open_message<heartbeat>(m_key, message_kind::heartbeat, datagram);
+    const auto message = unseal_message<heartbeat>(m_key, message_kind::heartbeat, datagram);
     if (!message) {
         ++m_usage.refused;
         return;
     }
-    auto& [incarnation, sequence] = m_latest[message->id];
+    auto& [incarnation, sequence] = m_latest_heartbeats[message->id];
     if (message->incarnation < incarnation ||
         (message->incarnation == incarnation && message->sequence <= sequence)) {
         // UDP may bring an old heartbeat late or twice; its report of applied revisions or of requests in
@@ -63,9 +63,9 @@
     m_handlers.on_heartbeat(*message);
 }
 
-std::string peer_task::answer(std::string_view frame) {
-    const auto request = open_message<value_request>(m_key, message_kind::value_request, frame);
-    if (m_cut) {
+std::string peer_task::handle_request(std::string_view frame) {
+    const auto request = unseal_message<value_request>(m_key, message_kind::value_request, frame);
+    if (m_is_partitioned) {
         return {};
     }
     if (!request) {
@@ -84,7 +84,7 @@
                           done(std::nullopt);
                           return;
                       }
-                      auto reply = open_message<value_reply>(m_key, message_kind::value_reply, frame);
+                      auto reply = unseal_message<value_reply>(m_key, message_kind::value_reply, frame);
                       m_usage.refused += reply ? 0 : 1;
                       done(std::move(reply));
                   });
--- a/peer/peer_task.hpp
+++ b/peer/peer_task.hpp
@@ -44,7 +44,7 @@
     void probe(const endpoint& peer, std::function<void(bool refused)> done);
 
     /// While set, nothing is sent to peers or taken from them, as in a partition.
-    void set_cut(bool cut) { m_cut = cut; }
+    void set_partitioned(bool partitioned) { m_is_partitioned = partitioned; }
 
     [[nodiscard]] const peer_usage& usage() const noexcept { return m_usage; }
     [[nodiscard]] std::uint64_t bytes_sent() const noexcept {
@@ -52,15 +52,15 @@
     }
 
   private:
-    void receive(std::string_view datagram);
-    std::string answer(std::string_view frame);
+    void handle_heartbeat(std::string_view datagram);
+    std::string handle_request(std::string_view frame);
 
     std::string m_key;
-    bool m_cut = false;
+    bool m_is_partitioned = false;
     handlers m_handlers;
     peer_usage m_usage;
     std::map<std::string, std::pair<std::uint64_t, std::uint64_t>>
-        m_latest; ///< Incarnation and sequence by id.
+        m_latest_heartbeats; ///< Incarnation and sequence by id.
     udp_socket m_udp;
     frame_server m_server;
     frame_client m_client;
--- a/peer/replica.cpp
+++ b/peer/replica.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 /// Fleet changes that are remembered. A peer that missed more gets the whole record.
-constexpr std::size_t remembered_deltas = 64;
-constexpr std::size_t remembered_documents = 8;
+constexpr std::size_t max_deltas = 64;
+constexpr std::size_t max_documents = 8;
 
 /// The changes of consecutive deltas in one.
-fleet_delta joined(const std::deque<fleet_delta>& deltas, std::uint64_t from) {
+fleet_delta merge_deltas(const std::deque<fleet_delta>& deltas, std::uint64_t from) {
     fleet_delta result = deltas.back();
     result.base = from;
     result.changed.clear();
@@ -56,33 +56,33 @@
     return found == m_jobs.end() ? none : found->second;
 }
 
-const boost::json::value* replica::document(std::uint64_t number) const {
+const boost::json::value* replica::find_document(std::uint64_t number) const {
     const auto found = m_documents.find(number);
     return found == m_documents.end() ? nullptr : &found->second;
 }
 
-bool replica::lacks(const std::map<std::string, std::uint64_t>& revisions) const {
+bool replica::is_behind(const std::map<std::string, std::uint64_t>& revisions) const {
     return std::any_of(revisions.begin(), revisions.end(),
                        [this](const auto& item) { return item.second > revision(item.first); });
 }
 
-void replica::note_version(const std::string& name, std::uint64_t store_version) {
+void replica::record_store_version(const std::string& name, std::uint64_t store_version) {
     std::uint64_t& known = m_store_versions[name];
     known = std::max(known, store_version);
 }
 
-offer_result replica::offer_stored(const std::string& name, const std::string& bytes,
+apply_result replica::apply_stored(const std::string& name, const std::string& bytes,
                                    std::uint64_t store_version) {
-    const offer_result result = offer_bytes(name, bytes);
-    if (result == offer_result::taken || result == offer_result::same) {
-        note_version(name, store_version);
+    const apply_result result = apply_bytes(name, bytes);
+    if (result == apply_result::applied || result == apply_result::same) {
+        record_store_version(name, store_version);
     }
     return result;
 }
 
-offer_result replica::offer_bytes(const std::string& name, const std::string& bytes) {
+apply_result replica::apply_bytes(const std::string& name, const std::string& bytes) {
     if (name == config_value) {
-        return take_config(bytes);
+        return apply_config(bytes);
     }
     if (name == fleet_value) {
         fleet_record next;
@@ -92,49 +92,49 @@
                 return true;
             },
             [] { return false; });
-        return read ? take_fleet(std::move(next)) : offer_result::damaged;
+        return read ? apply_fleet(std::move(next)) : apply_result::damaged;
     }
-    return take_jobs(name, bytes);
+    return apply_jobs(name, bytes);
 }
 
-offer_result replica::take_config(const std::string& bytes) {
+apply_result replica::apply_config(const std::string& bytes) {
     findings problems;
     stored_configuration stored = decode_stored_configuration(bytes, problems);
     configuration config = parse_configuration(stored.number, stored.document, problems);
     if (!problems.empty()) {
-        return offer_result::damaged;
+        return apply_result::damaged;
     }
     const std::uint64_t known = revision(config_value);
     if (stored.number <= known) {
-        return stored.number == known ? offer_result::same : offer_result::older;
+        return stored.number == known ? apply_result::same : apply_result::older;
     }
     m_revisions[std::string(config_value)] = stored.number;
     m_documents[stored.number] = stored.document;
-    if (m_documents.size() > remembered_documents) {
+    if (m_documents.size() > max_documents) {
         m_documents.erase(m_documents.begin());
     }
     m_stored_config = std::move(stored);
     m_config = std::move(config);
-    return offer_result::taken;
+    return apply_result::applied;
 }
 
-offer_result replica::take_fleet(fleet_record next) {
+apply_result replica::apply_fleet(fleet_record next) {
     const std::uint64_t known = revision(fleet_value);
     if (next.revision <= known) {
-        return next.revision == known ? offer_result::same : offer_result::older;
+        return next.revision == known ? apply_result::same : apply_result::older;
     }
     m_deltas.push_back(make_delta(m_fleet, next));
-    if (m_deltas.size() > remembered_deltas) {
+    if (m_deltas.size() > max_deltas) {
         m_deltas.pop_front();
     }
     m_revisions[std::string(fleet_value)] = next.revision;
     m_fleet = std::move(next);
-    return offer_result::taken;
+    return apply_result::applied;
 }
 
-offer_result replica::take_jobs(const std::string& name, const std::string& bytes) {
+apply_result replica::apply_jobs(const std::string& name, const std::string& bytes) {
     if (!name.starts_with(jobs_prefix)) {
-        return offer_result::damaged;
+        return apply_result::damaged;
     }
     job_table table;
     const bool read = boost::leaf::try_handle_all(
@@ -144,20 +144,20 @@
         },
         [] { return false; });
     if (!read) {
-        return offer_result::damaged;
+        return apply_result::damaged;
     }
     const std::uint64_t known = revision(name);
     if (table.revision <= known) {
-        return table.revision == known ? offer_result::same : offer_result::older;
+        return table.revision == known ? apply_result::same : apply_result::older;
     }
     m_revisions[name] = table.revision;
     m_jobs[name.substr(jobs_prefix.size())] = std::move(table);
-    return offer_result::taken;
+    return apply_result::applied;
 }
 
-offer_result replica::offer_transfer(const value_transfer& transfer) {
+apply_result replica::apply_transfer(const value_transfer& transfer) {
     if (!transfer.is_delta) {
-        return offer_stored(transfer.name, transfer.bytes, transfer.store_version);
+        return apply_stored(transfer.name, transfer.bytes, transfer.store_version);
     }
     fleet_delta delta;
     const bool read = boost::leaf::try_handle_all(
@@ -167,45 +167,46 @@
         },
         [] { return false; });
     if (!read || transfer.name != fleet_value) {
-        return offer_result::damaged;
+        return apply_result::damaged;
     }
     if (delta.revision <= m_fleet.revision) {
-        return delta.revision == m_fleet.revision ? offer_result::same : offer_result::older;
+        return delta.revision == m_fleet.revision ? apply_result::same : apply_result::older;
     }
     fleet_record next = m_fleet;
     if (!apply_delta(next, delta)) {
-        return offer_result::wrong_base;
+        return apply_result::wrong_base;
     }
-    const offer_result result = take_fleet(std::move(next));
-    note_version(transfer.name, transfer.store_version);
+    const apply_result result = apply_fleet(std::move(next));
+    record_store_version(transfer.name, transfer.store_version);
     return result;
 }
 
-value_transfer replica::transfer_fleet(std::uint64_t have) const {
+value_transfer replica::make_fleet_transfer(std::uint64_t known_revision) const {
     value_transfer transfer{
         std::string(fleet_value), m_fleet.revision, store_version(fleet_value), false, {}};
-    const bool covered =
-        have > 0 && std::any_of(m_deltas.begin(), m_deltas.end(),
-                                [have](const fleet_delta& delta) { return delta.base == have; });
+    const bool covered = known_revision > 0 && std::any_of(m_deltas.begin(), m_deltas.end(),
+                                                           [known_revision](const fleet_delta& delta) {
+                                                               return delta.base == known_revision;
+                                                           });
     if (covered) {
         transfer.is_delta = true;
-        transfer.bytes = encode_archive(joined(m_deltas, have));
+        transfer.bytes = encode_archive(merge_deltas(m_deltas, known_revision));
     } else {
         transfer.bytes = encode_fleet(m_fleet);
     }
     return transfer;
 }
 
-value_reply replica::answer(const value_request& request) const {
+value_reply replica::build_reply(const value_request& request) const {
     value_reply reply;
     for (const auto& [name, known] : m_revisions) {
-        const auto item = request.have.find(name);
-        const std::uint64_t have = item == request.have.end() ? 0 : item->second;
-        if (known <= have) {
+        const auto item = request.known_revisions.find(name);
+        const std::uint64_t known_revision = item == request.known_revisions.end() ? 0 : item->second;
+        if (known <= known_revision) {
             continue;
         }
         if (name == fleet_value) {
-            reply.values.push_back(transfer_fleet(have));
+            reply.values.push_back(make_fleet_transfer(known_revision));
         } else if (name == config_value) {
             reply.values.push_back(
                 {name, known, store_version(name), false, encode_stored_configuration(m_stored_config)});
--- a/peer/replica.hpp
+++ b/peer/replica.hpp
@@ -11,8 +11,8 @@
 namespace siskinpaddle {
 
 /// What became of a value that was offered to a replica.
-enum class offer_result : std::uint8_t {
-    taken,
+enum class apply_result : std::uint8_t {
+    applied,
     same,
     older, ///< Refused: values never go back.
     damaged,
@@ -20,12 +20,12 @@
 };
 
 template <>
-inline constexpr std::array enum_names<offer_result>{
-    std::pair{offer_result::taken, std::string_view("taken")},
-    std::pair{offer_result::same, std::string_view("same")},
-    std::pair{offer_result::older, std::string_view("older")},
-    std::pair{offer_result::damaged, std::string_view("damaged")},
-    std::pair{offer_result::wrong_base, std::string_view("wrong-base")}};
+inline constexpr std::array enum_names<apply_result>{
+    std::pair{apply_result::applied, std::string_view("taken")},
+    std::pair{apply_result::same, std::string_view("same")},
+    std::pair{apply_result::older, std::string_view("older")},
+    std::pair{apply_result::damaged, std::string_view("damaged")},
+    std::pair{apply_result::wrong_base, std::string_view("wrong-base")}};
 
 /// An entry's copy of the values that the platform holds: the configuration, the fleet record and the job
 /// tables. Each moves only to higher revisions, whoever brings it: the store, a peer, or a store that was
@@ -33,18 +33,18 @@
 class replica {
   public:
     /// Takes the bytes as the store holds them.
-    [[nodiscard]] offer_result offer_stored(const std::string& name, const std::string& bytes,
+    [[nodiscard]] apply_result apply_stored(const std::string& name, const std::string& bytes,
                                             std::uint64_t store_version);
 
     /// Takes what a peer sent.
-    [[nodiscard]] offer_result offer_transfer(const value_transfer& transfer);
+    [[nodiscard]] apply_result apply_transfer(const value_transfer& transfer);
 
     /// Newer values than the asker's: the fleet as a delta where the changes since its revision are still
     /// known.
-    [[nodiscard]] value_reply answer(const value_request& request) const;
+    [[nodiscard]] value_reply build_reply(const value_request& request) const;
 
     /// Whether a peer with these revisions in force has something newer.
-    [[nodiscard]] bool lacks(const std::map<std::string, std::uint64_t>& revisions) const;
+    [[nodiscard]] bool is_behind(const std::map<std::string, std::uint64_t>& revisions) const;
 
     [[nodiscard]] const std::map<std::string, std::uint64_t>& revisions() const noexcept {
         return m_revisions;
@@ -60,15 +60,15 @@
     /// The job table of a pool; empty when none is known.
     [[nodiscard]] const job_table& jobs(const std::string& pool) const;
     /// An earlier configuration document, as far as remembered.
-    [[nodiscard]] const boost::json::value* document(std::uint64_t number) const;
+    [[nodiscard]] const boost::json::value* find_document(std::uint64_t number) const;
 
   private:
-    [[nodiscard]] offer_result take_config(const std::string& bytes);
-    [[nodiscard]] offer_result take_fleet(fleet_record next);
-    [[nodiscard]] offer_result take_jobs(const std::string& name, const std::string& bytes);
-    [[nodiscard]] offer_result offer_bytes(const std::string& name, const std::string& bytes);
-    [[nodiscard]] value_transfer transfer_fleet(std::uint64_t have) const;
-    void note_version(const std::string& name, std::uint64_t store_version);
+    [[nodiscard]] apply_result apply_config(const std::string& bytes);
+    [[nodiscard]] apply_result apply_fleet(fleet_record next);
+    [[nodiscard]] apply_result apply_jobs(const std::string& name, const std::string& bytes);
+    [[nodiscard]] apply_result apply_bytes(const std::string& name, const std::string& bytes);
+    [[nodiscard]] value_transfer make_fleet_transfer(std::uint64_t known_revision) const;
+    void record_store_version(const std::string& name, std::uint64_t store_version);
 
     std::map<std::string, std::uint64_t> m_revisions;
     std::map<std::string, std::uint64_t, std::less<>> m_store_versions;
--- a/peer/seal.cpp
+++ b/peer/seal.cpp
@@ -10,37 +10,37 @@
 
 namespace {
 
-constexpr std::size_t code_bytes = 32;
+constexpr std::size_t mac_bytes = 32;
 constexpr std::size_t header_bytes = 2;
 
-std::string code_for(std::string_view key, std::string_view data) {
-    std::string code(code_bytes, '\0');
-    unsigned int length = code_bytes;
+std::string compute_mac(std::string_view key, std::string_view data) {
+    std::string mac(mac_bytes, '\0');
+    unsigned int length = mac_bytes;
     HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()),
          reinterpret_cast<const unsigned char*>(data.data()), data.size(),
-         reinterpret_cast<unsigned char*>(code.data()), &length);
-    return code;
+         reinterpret_cast<unsigned char*>(mac.data()), &length);
+    return mac;
 }
 
 } // namespace
 
 std::string seal(std::string_view key, message_kind kind, std::string_view body) {
     std::string data;
-    data.reserve(header_bytes + body.size() + code_bytes);
+    data.reserve(header_bytes + body.size() + mac_bytes);
     data += static_cast<char>(peer_protocol_version);
     data += static_cast<char>(kind);
     data += body;
-    data += code_for(key, data);
+    data += compute_mac(key, data);
     return data;
 }
 
 std::optional<std::string_view> unseal(std::string_view key, message_kind kind, std::string_view message) {
-    if (message.size() < header_bytes + code_bytes ||
-        message[0] != static_cast<char>(peer_protocol_version) || message[1] != static_cast<char>(kind)) {
+    if (message.size() < header_bytes + mac_bytes || message[0] != static_cast<char>(peer_protocol_version) ||
+        message[1] != static_cast<char>(kind)) {
         return std::nullopt;
     }
-    const std::string_view data = message.substr(0, message.size() - code_bytes);
-    if (!equal_secrets(code_for(key, data), message.substr(data.size()))) {
+    const std::string_view data = message.substr(0, message.size() - mac_bytes);
+    if (!equal_secrets(compute_mac(key, data), message.substr(data.size()))) {
         return std::nullopt;
     }
     return data.substr(header_bytes);
--- a/policy/admission.hpp
+++ b/policy/admission.hpp
@@ -27,55 +27,56 @@
     bool has_target = false;
 };
 
-enum class admission_step : std::uint8_t { send, wait, refuse };
+enum class admission_action : std::uint8_t { send, wait, refuse };
 
 struct admission_verdict {
-    admission_step step = admission_step::refuse;
+    admission_action action = admission_action::refuse;
     answer_code code = answer_code::overloaded; ///< Only with `refuse`.
     int retry_after_s = 0;                      ///< Only with `refuse`; 0 means the rule's own.
 };
 
 /// Bounds what one entry holds: a share of its requests for each member, and a queue with a deadline check
 /// for each pool. Pure; not thread-safe.
-class admission {
+class admission_controller {
   public:
     /// `max_requests` bounds the requests that the entry holds at once, waiting and in progress together.
     /// With `enabled` false everything is let in, which is the baseline to measure against.
-    admission(std::int64_t max_requests, bool enabled) : m_max_requests(max_requests), m_enabled(enabled) {}
+    admission_controller(std::int64_t max_requests, bool enabled)
+        : m_max_requests(max_requests), m_enabled(enabled) {}
 
     /// Number of members that share the entry. Precondition: members >= 1.
-    void set_members(std::int64_t members) { m_members = members; }
+    void set_member_count(std::int64_t count) { m_member_count = count; }
 
     /// Decides on a new request. One that can't finish in time by the queue's present pace is refused at
     /// once.
-    [[nodiscard]] admission_verdict offer(const admission_request& request, const pool_load& load,
+    [[nodiscard]] admission_verdict admit(const admission_request& request, const pool_load& load,
                                           timestamp now);
 
     /// Whether a request waits for this pool.
     [[nodiscard]] bool has_waiting(const std::string& pool) const;
 
     /// Takes the next waiting request of `pool` whose deadline hasn't passed, if any.
-    [[nodiscard]] std::optional<std::uint64_t> take(const std::string& pool, timestamp now);
+    [[nodiscard]] std::optional<std::uint64_t> pop_waiting(const std::string& pool, timestamp now);
 
     /// Removes and returns all waiting requests whose deadline has passed.
-    [[nodiscard]] std::vector<std::uint64_t> expire(timestamp now);
+    [[nodiscard]] std::vector<std::uint64_t> remove_expired(timestamp now);
 
     /// Removes and returns all that wait for `pool`, which has lost its last target.
-    [[nodiscard]] std::vector<std::uint64_t> drain_queue(const std::string& pool);
+    [[nodiscard]] std::vector<std::uint64_t> remove_waiting(const std::string& pool);
 
     /// A request that was let in has got its final answer. `service_time` is 0 when no target answered.
-    void finished(const std::string& pool, const std::string& member, milliseconds service_time);
+    void record_finished(const std::string& pool, const std::string& member, milliseconds service_time);
 
-    [[nodiscard]] std::int64_t held() const noexcept { return m_held; }
-    [[nodiscard]] std::vector<std::string> waiting_pools() const;
+    [[nodiscard]] std::int64_t held_requests() const noexcept { return m_held_requests; }
+    [[nodiscard]] std::vector<std::string> pools_with_waiting() const;
 
   private:
-    struct waiting {
+    struct waiting_request {
         std::uint64_t id;
         timestamp deadline;
     };
     struct pool_state {
-        std::deque<waiting> queue;
+        std::deque<waiting_request> queue;
         double service_ms = 20; ///< Moving average of the time that a target takes.
     };
 
@@ -83,8 +84,8 @@
 
     std::int64_t m_max_requests;
     bool m_enabled;
-    std::int64_t m_members = 1;
-    std::int64_t m_held = 0;
+    std::int64_t m_member_count = 1;
+    std::int64_t m_held_requests = 0;
     std::map<std::string, std::int64_t> m_held_by_member;
     std::map<std::string, pool_state> m_pools;
 };
--- a/policy/answers.cpp
+++ b/policy/answers.cpp
@@ -5,9 +5,9 @@
 namespace {
 
 /// Less time than this is not worth another attempt.
-constexpr milliseconds least_retry_time = 20ms;
+constexpr milliseconds min_retry_time = 20ms;
 
-answer_code code_for(attempt_result result) {
+answer_code answer_code_for(attempt_result result) {
     switch (result) {
     case attempt_result::connect_failed:
         return answer_code::target_unreachable;
@@ -28,7 +28,7 @@
 
 } // namespace
 
-const answer_rule& rule_for(answer_code code) {
+const answer_rule& find_answer_rule(answer_code code) {
     for (const answer_rule& rule : answer_rules) {
         if (rule.code == code) {
             return rule;
@@ -37,21 +37,21 @@
     return answer_rules.front();
 }
 
-attempt_verdict decide_after(const attempt_context& context) {
+attempt_verdict decide_next_step(const attempt_context& context) {
     if (context.result == attempt_result::answered) {
         return {next_step::deliver, {}};
     }
-    const bool safe_to_send_again = certainly_not_run(context.result) || context.repeatable;
+    const bool is_safe_to_retry = is_confirmed_not_run(context.result) || context.repeatable;
     // A larger answer would be too large from any target, so asking again only costs.
-    const bool may_help = context.result != attempt_result::answer_too_large;
-    if (safe_to_send_again && may_help && context.budget_left && context.attempts < max_attempts &&
-        context.remaining >= least_retry_time) {
+    const bool can_retry_help = context.result != attempt_result::answer_too_large;
+    if (is_safe_to_retry && can_retry_help && context.has_retry_budget && context.attempts < max_attempts &&
+        context.remaining >= min_retry_time) {
         return {next_step::retry, {}};
     }
-    if (certainly_not_run(context.result) && context.sent_before) {
+    if (is_confirmed_not_run(context.result) && context.may_have_run) {
         return {next_step::give_up, answer_code::target_reset};
     }
-    return {next_step::give_up, code_for(context.result)};
+    return {next_step::give_up, answer_code_for(context.result)};
 }
 
 bool is_safe_method(std::string_view method) {
--- a/policy/answers.hpp
+++ b/policy/answers.hpp
@@ -28,7 +28,7 @@
     std::pair{attempt_result::answer_too_large, std::string_view("answer-too-large")}};
 
 /// Whether the request can have run at all after an attempt that ended so.
-[[nodiscard]] constexpr bool certainly_not_run(attempt_result result) noexcept {
+[[nodiscard]] constexpr bool is_confirmed_not_run(attempt_result result) noexcept {
     return result == attempt_result::connect_failed || result == attempt_result::refused_by_target;
 }
 
@@ -92,7 +92,7 @@
     answer_rule{answer_code::answer_too_large, "answer-too-large", 502, outcome::unknown, 0},
 };
 
-[[nodiscard]] const answer_rule& rule_for(answer_code code);
+[[nodiscard]] const answer_rule& find_answer_rule(answer_code code);
 
 /// What to do after an attempt.
 enum class next_step : std::uint8_t { deliver, retry, give_up };
@@ -100,11 +100,11 @@
 /// All that decides what follows an attempt.
 struct attempt_context {
     attempt_result result = attempt_result::answered;
-    bool repeatable = false;   ///< May the request be sent twice?
-    bool sent_before = false;  ///< Did an earlier attempt possibly run it?
-    int attempts = 1;          ///< Attempts so far, this one included.
-    milliseconds remaining{0}; ///< Until the deadline.
-    bool budget_left = false;  ///< Does the retry budget allow one more?
+    bool repeatable = false;       ///< May the request be sent twice?
+    bool may_have_run = false;     ///< Did an earlier attempt possibly run it?
+    int attempts = 1;              ///< Attempts so far, this one included.
+    milliseconds remaining{0};     ///< Until the deadline.
+    bool has_retry_budget = false; ///< Does the retry budget allow one more?
 };
 
 /// Decision after one attempt.
@@ -118,7 +118,7 @@
 
 /// Decides what follows an attempt. Pure. `not-run` is said only if no attempt can have reached a target:
 /// once one may have run the request, later refusals don't change that.
-[[nodiscard]] attempt_verdict decide_after(const attempt_context& context);
+[[nodiscard]] attempt_verdict decide_next_step(const attempt_context& context);
 
 /// Whether the method may be repeated without a route's word (RFC 9110, safe methods).
 [[nodiscard]] bool is_safe_method(std::string_view method);
--- a/policy/budget.cpp
+++ b/policy/budget.cpp
@@ -2,17 +2,17 @@
 
 namespace siskinpaddle {
 
-std::set<std::string> silent_zones(const fleet_record& fleet, const observations& seen, timestamp now) {
+std::set<std::string> find_silent_zones(const fleet_record& fleet, const observations& seen, timestamp now) {
     std::set<std::string> silent;
-    std::set<std::string> heard;
+    std::set<std::string> responsive;
     for (const entry_record& entry : fleet.entries) {
         silent.insert(entry.availability_zone);
         const auto report = seen.entries.find(entry.id);
-        if (report != seen.entries.end() && now - report->second.heard <= zone_silence_bound) {
-            heard.insert(entry.availability_zone);
+        if (report != seen.entries.end() && now - report->second.received_at <= zone_silence_timeout) {
+            responsive.insert(entry.availability_zone);
         }
     }
-    for (const std::string& zone : heard) {
+    for (const std::string& zone : responsive) {
         silent.erase(zone);
     }
     return silent;
@@ -29,11 +29,11 @@
     for (const auto& [id, report] : seen.entries) {
         suspected.insert(report.suspect_vms.begin(), report.suspect_vms.end());
     }
-    const std::set<std::string> silent = silent_zones(fleet, seen, now);
+    const std::set<std::string> silent = find_silent_zones(fleet, seen, now);
     // Both are in order of ids, so one walk pairs them.
-    auto listed = seen.listed.begin();
+    auto listed = seen.listed_vms.begin();
     for (const vm_record& vm : fleet.vms) {
-        while (listed != seen.listed.end() && listed->first < vm.id) {
+        while (listed != seen.listed_vms.end() && listed->first < vm.id) {
             ++listed;
         }
         const auto pool = pools.find(vm.pool);
@@ -49,16 +49,16 @@
             ++pool->second.planned_out;
             continue;
         }
-        const bool live =
-            listed != seen.listed.end() && listed->first == vm.id && listed->second.state == listing::live;
-        if (live && !suspected.contains(vm.id) && !silent.contains(vm.availability_zone)) {
+        const bool is_live = listed != seen.listed_vms.end() && listed->first == vm.id &&
+                             listed->second.state == listing_state::live;
+        if (is_live && !suspected.contains(vm.id) && !silent.contains(vm.availability_zone)) {
             ++pool->second.available;
         }
     }
     return pools;
 }
 
-bool may_take_out(const pool_availability& pool, std::int64_t count, std::int64_t reserve) {
+bool can_take_out_of_service(const pool_availability& pool, std::int64_t count, std::int64_t reserve) {
     return pool.available - count >= pool.promised + reserve;
 }
 
--- a/policy/budget.hpp
+++ b/policy/budget.hpp
@@ -11,9 +11,9 @@
 namespace siskinpaddle {
 
 /// How old the VM list may be before planned steps stop.
-inline constexpr milliseconds list_age_bound = 15s;
+inline constexpr milliseconds max_list_age = 15s;
 /// How long a zone's entries may all be silent before its VMs count as doubtful.
-inline constexpr milliseconds zone_silence_bound = 5s;
+inline constexpr milliseconds zone_silence_timeout = 5s;
 
 /// One pool's capacity as far as it is known.
 struct pool_availability {
@@ -32,8 +32,8 @@
 
 /// Zones whose registered entries have all been silent for `zone_silence_bound`. What happens there is
 /// unknown.
-[[nodiscard]] std::set<std::string> silent_zones(const fleet_record& fleet, const observations& seen,
-                                                 timestamp now);
+[[nodiscard]] std::set<std::string> find_silent_zones(const fleet_record& fleet, const observations& seen,
+                                                      timestamp now);
 
 /// Counts every pool's capacity. A VM counts as available only when it is serving, listed as live, suspected
 /// by no entry and not in a silent zone: lag and doubt count against planned steps. Pure.
@@ -41,6 +41,7 @@
                                                     const observations& seen, timestamp now);
 
 /// Whether a planned step may make `count` more VMs of the pool unavailable and leave `reserve` spare ones.
-[[nodiscard]] bool may_take_out(const pool_availability& pool, std::int64_t count, std::int64_t reserve);
+[[nodiscard]] bool can_take_out_of_service(const pool_availability& pool, std::int64_t count,
+                                           std::int64_t reserve);
 
 } // namespace siskinpaddle
--- a/policy/byte_budget.hpp
+++ b/policy/byte_budget.hpp
@@ -13,26 +13,26 @@
   public:
     /// `per_second` bytes are earned each second, up to `burst`.
     byte_budget(std::int64_t per_second, std::int64_t burst) noexcept
-        : m_per_second(per_second), m_burst(burst), m_level(burst) {}
+        : m_bytes_per_second(per_second), m_max_bytes(burst), m_available_bytes(burst) {}
 
     /// Whether something may be sent now. Preconditions: `now` never goes back.
     [[nodiscard]] bool allows(timestamp now) noexcept {
-        const std::int64_t earned = (now - m_last).count() * m_per_second / 1000;
+        const std::int64_t earned = (now - m_last_refill).count() * m_bytes_per_second / 1000;
         if (earned > 0) {
-            m_level = std::min(m_burst, m_level + earned);
-            m_last = now;
+            m_available_bytes = std::min(m_max_bytes, m_available_bytes + earned);
+            m_last_refill = now;
         }
-        return m_level > 0;
+        return m_available_bytes > 0;
     }
 
     /// Counts what was sent, also beyond the level: the debt is earned back before anything is allowed again.
-    void spend(std::int64_t bytes) noexcept { m_level -= bytes; }
+    void consume(std::int64_t bytes) noexcept { m_available_bytes -= bytes; }
 
   private:
-    std::int64_t m_per_second;
-    std::int64_t m_burst;
-    std::int64_t m_level;
-    timestamp m_last{0};
+    std::int64_t m_bytes_per_second;
+    std::int64_t m_max_bytes;
+    std::int64_t m_available_bytes;
+    timestamp m_last_refill{0};
 };
 
 } // namespace siskinpaddle
--- a/policy/claims.cpp
+++ b/policy/claims.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr std::uint64_t low_seed = 0x5bd1e995;
+constexpr std::uint64_t low_half_seed = 0x5bd1e995;
 
 } // namespace
 
 claim_key make_claim_key(std::string_view pool, std::string_view idempotency_key) {
     const std::string text = std::string(pool) + '\0' + std::string(idempotency_key);
-    return {hash64(text), hash64(text, low_seed)};
+    return {hash64(text), hash64(text, low_half_seed)};
 }
 
 std::string encode_claim_log(const claim_log& log) {
@@ -32,7 +32,7 @@
     m_closed[generation] = {std::move(lines), now};
 }
 
-bool claim_shard::missing_generation(std::uint64_t& generation) const {
+bool claim_shard::find_missing_generation(std::uint64_t& generation) const {
     // Newest first: once a generation has left the store, so have all before it. The generation just before
     // the open one comes with it.
     for (std::uint64_t next = m_open.generation; next > m_first_generation + 1; --next) {
@@ -44,13 +44,13 @@
     return false;
 }
 
-void claim_shard::skip_closed(std::uint64_t generation, timestamp now) {
+void claim_shard::skip_generation(std::uint64_t generation, timestamp now) {
     m_first_generation = std::max(m_first_generation, generation + 1);
-    forget(now);
+    remove_expired(now);
 }
 
-void claim_shard::replay(const std::vector<claim_entry>& lines, const claim_key& key,
-                         const claim_entry*& last) {
+void claim_shard::find_last_line(const std::vector<claim_entry>& lines, const claim_key& key,
+                                 const claim_entry*& last) {
     for (const claim_entry& line : lines) {
         if (line.key_high == key.first && line.key_low == key.second) {
             last = &line;
@@ -58,20 +58,20 @@
     }
 }
 
-claim_shard::verdict claim_shard::look(const claim_key& key, std::uint64_t nonce) const {
+claim_shard::claim_state claim_shard::check_claim(const claim_key& key, std::uint64_t nonce) const {
     const claim_entry* last = nullptr;
     for (const auto& [generation, closed] : m_closed) {
-        replay(closed.lines, key, last);
+        find_last_line(closed.lines, key, last);
     }
-    replay(m_open.previous, key, last);
-    replay(m_open.lines, key, last);
+    find_last_line(m_open.previous, key, last);
+    find_last_line(m_open.lines, key, last);
     if (last == nullptr || last->released) {
-        return verdict::free;
+        return claim_state::free;
     }
-    return last->nonce == nonce ? verdict::mine : verdict::taken;
+    return last->nonce == nonce ? claim_state::held_by_attempt : claim_state::held_by_other;
 }
 
-claim_log claim_shard::with(const std::vector<claim_entry>& lines) const {
+claim_log claim_shard::make_log_with(const std::vector<claim_entry>& lines) const {
     claim_log next = m_open;
     next.lines.insert(next.lines.end(), lines.begin(), lines.end());
     return next;
@@ -81,10 +81,10 @@
     return {m_open.generation + 1, {}, m_open.lines};
 }
 
-void claim_shard::forget(timestamp now) {
+void claim_shard::remove_expired(timestamp now) {
     while (!m_closed.empty()) {
         const auto oldest = m_closed.begin();
-        if (oldest->first >= m_first_generation && now - oldest->second.seen <= claim_window) {
+        if (oldest->first >= m_first_generation && now - oldest->second.added_at <= claim_retention) {
             return;
         }
         m_first_generation = std::max(m_first_generation, oldest->first + 1);
@@ -92,7 +92,7 @@
     }
 }
 
-std::size_t claim_shard::remembered() const noexcept {
+std::size_t claim_shard::line_count() const noexcept {
     std::size_t lines = m_open.lines.size() + m_open.previous.size();
     for (const auto& [generation, closed] : m_closed) {
         lines += closed.lines.size();
--- a/policy/claims.hpp
+++ b/policy/claims.hpp
@@ -51,14 +51,14 @@
 [[nodiscard]] boost::leaf::result<claim_log> decode_claim_log(std::string_view bytes);
 
 /// Lines after which a log is closed and the next generation begun, so that each write stays small.
-inline constexpr std::size_t claim_log_lines = 64;
+inline constexpr std::size_t max_claim_log_lines = 64;
 /// How long claims are remembered at least.
-inline constexpr milliseconds claim_window = 10min;
+inline constexpr milliseconds claim_retention = 10min;
 /// Claim shards of a deployment; a shard is one key in the store.
-inline constexpr std::uint64_t claim_shards = 16;
+inline constexpr std::uint64_t claim_shard_count = 16;
 
 [[nodiscard]] constexpr std::uint64_t claim_shard_of(const claim_key& key) {
-    return key.first % claim_shards;
+    return key.first % claim_shard_count;
 }
 
 /// An entry's copy of one shard: closed generations and the open one. It decides on claims and builds the
@@ -73,38 +73,39 @@
     void add_closed(std::uint64_t generation, std::vector<claim_entry> lines, timestamp now);
 
     /// The oldest generation that this copy lacks before it may decide, if any.
-    [[nodiscard]] bool missing_generation(std::uint64_t& generation) const;
+    [[nodiscard]] bool find_missing_generation(std::uint64_t& generation) const;
 
     /// Marks `generation` as gone from the store: its claims have outlived the window.
-    void skip_closed(std::uint64_t generation, timestamp now);
+    void skip_generation(std::uint64_t generation, timestamp now);
 
-    enum class verdict : std::uint8_t { free, mine, taken };
+    enum class claim_state : std::uint8_t { free, held_by_attempt, held_by_other };
 
     /// What the copy says about a key. `mine` when `nonce` holds it.
-    [[nodiscard]] verdict look(const claim_key& key, std::uint64_t nonce) const;
+    [[nodiscard]] claim_state check_claim(const claim_key& key, std::uint64_t nonce) const;
 
     /// The open log with `lines` appended.
-    [[nodiscard]] claim_log with(const std::vector<claim_entry>& lines) const;
+    [[nodiscard]] claim_log make_log_with(const std::vector<claim_entry>& lines) const;
 
     /// The log that begins the next generation. Precondition: the previous one stands under its own key.
     [[nodiscard]] claim_log next_generation() const;
 
     [[nodiscard]] const claim_log& open() const noexcept { return m_open; }
     [[nodiscard]] std::uint64_t version() const noexcept { return m_version; }
-    [[nodiscard]] bool must_close() const noexcept { return m_open.lines.size() >= claim_log_lines; }
+    [[nodiscard]] bool must_close() const noexcept { return m_open.lines.size() >= max_claim_log_lines; }
 
     /// Drops generations that were closed longer than the window ago.
-    void forget(timestamp now);
+    void remove_expired(timestamp now);
 
-    [[nodiscard]] std::size_t remembered() const noexcept;
+    [[nodiscard]] std::size_t line_count() const noexcept;
 
   private:
     struct closed_log {
         std::vector<claim_entry> lines;
-        timestamp seen{0};
+        timestamp added_at{0};
     };
 
-    static void replay(const std::vector<claim_entry>& lines, const claim_key& key, const claim_entry*& last);
+    static void find_last_line(const std::vector<claim_entry>& lines, const claim_key& key,
+                               const claim_entry*& last);
 
     claim_log m_open;
     std::uint64_t m_version = 0;
--- a/policy/fleet.hpp
+++ b/policy/fleet.hpp
@@ -60,18 +60,18 @@
     std::string next_pool; ///< Where it goes once drained, with `stop_reason::move`.
     vm_state state = vm_state::free;
     stop_reason reason = stop_reason::none;
-    std::uint32_t epoch = 0;     ///< Rises whenever the VM changes pool or is lost.
-    std::uint64_t wave = 0;      ///< Order of the last wave that it has finished.
-    std::uint64_t goal_wave = 0; ///< Order of the wave that it is being maintained for.
-    std::uint64_t boot = 0;      ///< Boot count when its last reboot was ordered.
-    std::uint64_t since = 0;     ///< Fleet revision at which it entered `state`.
+    std::uint32_t epoch = 0;          ///< Rises whenever the VM changes pool or is lost.
+    std::uint64_t completed_wave = 0; ///< Order of the last wave that it has finished.
+    std::uint64_t active_wave = 0;    ///< Order of the wave that it is being maintained for.
+    std::uint64_t boot_count = 0;     ///< Boot count when its last reboot was ordered.
+    std::uint64_t state_revision = 0; ///< Fleet revision at which it entered `state`.
 
     bool operator==(const vm_record&) const = default;
 
     template <typename Archive>
     void serialize(Archive& archive) {
         archive(id, availability_zone, rack, address, port, agent_port, cores, memory_mb, accelerators, pool,
-                next_pool, state, reason, epoch, wave, goal_wave, boot, since);
+                next_pool, state, reason, epoch, completed_wave, active_wave, boot_count, state_revision);
     }
 };
 
--- a/policy/jobs.cpp
+++ b/policy/jobs.cpp
@@ -18,7 +18,7 @@
     return state == job_state::done || state == job_state::failed || state == job_state::cancelled;
 }
 
-bool may_run(job_state state) {
+bool may_be_running(job_state state) {
     return state == job_state::assigned || state == job_state::running || state == job_state::stopping ||
            state == job_state::cancelling;
 }
@@ -27,7 +27,7 @@
     auto ended = static_cast<std::size_t>(std::count_if(
         table.jobs.begin(), table.jobs.end(), [](const job_record& job) { return has_ended(job.state); }));
     std::erase_if(table.jobs, [&ended](const job_record& job) {
-        if (!has_ended(job.state) || ended <= kept_ended_jobs) {
+        if (!has_ended(job.state) || ended <= max_ended_jobs) {
             return false;
         }
         --ended;
--- a/policy/jobs.hpp
+++ b/policy/jobs.hpp
@@ -103,13 +103,13 @@
 };
 
 /// Ended jobs that a table keeps, newest first, for callers to ask about.
-inline constexpr std::size_t kept_ended_jobs = 100;
+inline constexpr std::size_t max_ended_jobs = 100;
 /// Jobs that a pool's table takes at most; more are refused.
-inline constexpr std::size_t most_jobs_of_pool = 4'000;
+inline constexpr std::size_t max_jobs_per_pool = 4'000;
 
 [[nodiscard]] bool has_ended(job_state state);
 /// Whether a task of the job may be running at its VM.
-[[nodiscard]] bool may_run(job_state state);
+[[nodiscard]] bool may_be_running(job_state state);
 
 /// Drops the oldest ended jobs beyond `kept_ended_jobs`.
 void trim_ended_jobs(job_table& table);
--- a/policy/patch.cpp
+++ b/policy/patch.cpp
@@ -113,13 +113,13 @@
     patch_result result{patch_verdict::conflict, current.number, {}, {}, {}};
     std::set<std::string> paths;
     for (const accepted_change& change : current.history) {
-        if (change.number > request.against) {
+        if (change.number > request.base_number) {
             paths.insert(change.paths.begin(), change.paths.end());
         }
     }
     result.changed_paths.assign(paths.begin(), paths.end());
-    result.problems.add("", "the patch is against number " + std::to_string(request.against) + "; number " +
-                                std::to_string(current.number) + " is in force");
+    result.problems.add("", "the patch is against number " + std::to_string(request.base_number) +
+                                "; number " + std::to_string(current.number) + " is in force");
     return result;
 }
 
@@ -167,13 +167,14 @@
     return target;
 }
 
-std::vector<std::string> changed_paths(const boost::json::value& before, const boost::json::value& after) {
+std::vector<std::string> find_changed_paths(const boost::json::value& before,
+                                            const boost::json::value& after) {
     std::vector<std::string> paths;
     collect_changes(before, after, "", paths);
     return paths;
 }
 
-bool may_change(const configuration& before, const configuration& after, const std::string& member,
+bool can_change(const configuration& before, const configuration& after, const std::string& member,
                 const std::string& path) {
     if (is_admin(before, member)) {
         return true;
@@ -202,7 +203,7 @@
             return {patch_verdict::already_accepted, change.number, {}, {}, {}};
         }
     }
-    if (request.against != current.number) {
+    if (request.base_number != current.number) {
         return conflict_result(current, request);
     }
     patch_result result{patch_verdict::invalid, current.number, {}, {}, {}};
@@ -217,9 +218,9 @@
     }
     findings ignored;
     const configuration before = parse_configuration(current.number, current.document, ignored);
-    result.changed_paths = changed_paths(current.document, document);
+    result.changed_paths = find_changed_paths(current.document, document);
     for (const std::string& path : result.changed_paths) {
-        if (!may_change(before, after, request.member, path)) {
+        if (!can_change(before, after, request.member, path)) {
             result.problems.add(path, "is not for member '" + request.member + "' to change");
         }
     }
--- a/policy/patch.hpp
+++ b/policy/patch.hpp
@@ -29,7 +29,7 @@
 /// An operator's request to change the configuration.
 struct patch_request {
     std::string member;             ///< Whose credential came with it.
-    std::uint64_t against = 0;      ///< The number that the patch was written against.
+    std::uint64_t base_number = 0;  ///< The number that the patch was written against.
     std::string write_id;           ///< Names this submission; retries carry the same one.
     boost::json::value merge_patch; ///< JSON Merge Patch (RFC 7396).
 };
@@ -62,12 +62,12 @@
 [[nodiscard]] boost::json::value merge_patch(boost::json::value target, const boost::json::value& patch);
 
 /// JSON pointers of the outermost values that differ between two documents.
-[[nodiscard]] std::vector<std::string> changed_paths(const boost::json::value& before,
-                                                     const boost::json::value& after);
+[[nodiscard]] std::vector<std::string> find_changed_paths(const boost::json::value& before,
+                                                          const boost::json::value& after);
 
 /// Whether `member` owns everything at `path`, judged in the configurations before and after a change, so
 /// that nobody can take over or give away a rival's pool.
-[[nodiscard]] bool may_change(const configuration& before, const configuration& after,
+[[nodiscard]] bool can_change(const configuration& before, const configuration& after,
                               const std::string& member, const std::string& path);
 
 /// Text form of the stored value.
--- a/policy/pause_detector.hpp
+++ b/policy/pause_detector.hpp
@@ -6,8 +6,8 @@
 
 /// What an entry may do after a pause.
 enum class pause_verdict : std::uint8_t {
-    none,    ///< Not paused: route.
-    refresh, ///< Paused: refuse until the own registration has been seen in force again.
+    none,             ///< Not paused: route.
+    refresh_required, ///< Paused: refuse until the own registration has been seen in force again.
 };
 
 /// Notices that the process was stopped for a while: by a signal, a suspended VM or starvation.
@@ -19,23 +19,23 @@
 class pause_detector {
   public:
     /// A gap above this counts as a pause. Below the least time in which a registration can be removed.
-    static constexpr milliseconds bound = 2s;
+    static constexpr milliseconds pause_threshold = 2s;
 
     /// Reads the clock; call at each tick and before each routing decision.
     pause_verdict check(timestamp now) noexcept {
-        if (m_last != timestamp{0} && now - m_last > bound) {
-            m_refresh = true;
+        if (m_last_check != timestamp{0} && now - m_last_check > pause_threshold) {
+            m_needs_refresh = true;
         }
-        m_last = now;
-        return m_refresh ? pause_verdict::refresh : pause_verdict::none;
+        m_last_check = now;
+        return m_needs_refresh ? pause_verdict::refresh_required : pause_verdict::none;
     }
 
     /// The own registration was read, after the pause, from the platform or from a peer that isn't paused.
-    void refreshed() noexcept { m_refresh = false; }
+    void mark_refreshed() noexcept { m_needs_refresh = false; }
 
   private:
-    timestamp m_last{0};
-    bool m_refresh = false;
+    timestamp m_last_check{0};
+    bool m_needs_refresh = false;
 };
 
 } // namespace siskinpaddle
--- a/policy/placement.cpp
+++ b/policy/placement.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 constexpr double usage_margin = 1.2;
-constexpr double usage_weight = 0.3;
-constexpr int reports_to_believe = 3;
-constexpr std::uint32_t failures_to_fail = 3;
+constexpr double estimate_weight = 0.3;
+constexpr int min_reports_for_estimate = 3;
+constexpr std::uint32_t max_job_failures = 3;
 
 /// Free room on one VM during a step.
-struct room {
+struct free_capacity {
     const vm_record* vm = nullptr;
     std::int64_t cpu = 0;
     std::int64_t memory = 0;
@@ -22,23 +22,23 @@
     int tasks = 0;
 };
 
-bool holds(const room& space, const job_size& size) {
-    return space.cpu >= size.cpu_millicores && space.memory >= size.memory_mb &&
-           space.accelerators >= size.accelerators;
+bool has_capacity_for(const free_capacity& capacity, const job_size& size) {
+    return capacity.cpu >= size.cpu_millicores && capacity.memory >= size.memory_mb &&
+           capacity.accelerators >= size.accelerators;
 }
 
 class placement_pass {
   public:
-    explicit placement_pass(const placement_input& input) : m_in(input) { m_plan.next = input.jobs; }
+    explicit placement_pass(const placement_input& input) : m_input(input) { m_plan.next = input.jobs; }
 
     placement_plan run() {
-        collect_rooms();
+        collect_free_capacity();
         for (job_record& job : m_plan.next.jobs) {
-            settle(job);
+            follow_up_on_vm(job);
         }
-        charge_running();
+        account_running_jobs();
         place_queued();
-        m_plan.changed = m_plan.next != m_in.jobs;
+        m_plan.changed = m_plan.next != m_input.jobs;
         if (m_plan.changed) {
             ++m_plan.next.revision;
         }
@@ -46,83 +46,85 @@
     }
 
   private:
-    void decide(const job_record& job, const std::string& text) {
+    void record_decision(const job_record& job, const std::string& text) {
         m_plan.decisions.push_back({job.id, job.vm, text});
     }
 
-    void collect_rooms() {
-        for (const vm_record& vm : m_in.fleet.vms) {
-            if (vm.pool != m_in.pool || vm.state == vm_state::lost) {
+    void collect_free_capacity() {
+        for (const vm_record& vm : m_input.fleet.vms) {
+            if (vm.pool != m_input.pool || vm.state == vm_state::lost) {
                 continue;
             }
-            m_could_hold.push_back(&vm);
-            const auto health = m_in.workers.find(vm.id);
-            const bool aside = health != m_in.workers.end() && health->second.aside_until > m_in.now;
-            if (vm.state == vm_state::serving && !aside) {
-                m_rooms[vm.id] = {&vm, std::int64_t{vm.cores} * 1000, vm.memory_mb, vm.accelerators, 0};
+            m_candidate_vms.push_back(&vm);
+            const auto health = m_input.workers.find(vm.id);
+            const bool is_quarantined =
+                health != m_input.workers.end() && health->second.quarantined_until > m_input.now;
+            if (vm.state == vm_state::serving && !is_quarantined) {
+                m_free_capacity[vm.id] = {&vm, std::int64_t{vm.cores} * 1000, vm.memory_mb, vm.accelerators,
+                                          0};
             }
         }
     }
 
     /// Follows up on a job whose VM is leaving, lost or no longer the one it was assigned to.
-    void settle(job_record& job) {
-        if (!may_run(job.state)) {
+    void follow_up_on_vm(job_record& job) {
+        if (!may_be_running(job.state)) {
             return;
         }
-        const vm_record* vm = m_in.fleet.find_vm(job.vm);
-        const auto ended = m_in.ended_tasks.find(job.vm);
-        if (ended != m_in.ended_tasks.end() && ended->second > job.vm_epoch) {
+        const vm_record* vm = m_input.fleet.find_vm(job.vm);
+        const auto ended = m_input.ended_tasks.find(job.vm);
+        if (ended != m_input.ended_tasks.end() && ended->second > job.vm_epoch) {
             // Its worker has restarted or its lease has certainly run out, so it can't run twice.
             const bool cancelling = job.state == job_state::cancelling;
             job.state = cancelling ? job_state::cancelled : job_state::queued;
-            decide(job, cancelling ? "cancelled with its VM" : "its VM was lost; queued again");
+            record_decision(job, cancelling ? "cancelled with its VM" : "its VM was lost; queued again");
             job.last_vm = job.vm;
             job.vm.clear();
             return;
         }
-        const bool leaving =
+        const bool is_leaving =
             vm != nullptr && (vm->state == vm_state::cordoned || vm->state == vm_state::draining);
-        const bool running = job.state == job_state::running || job.state == job_state::assigned;
-        const bool patient = job.urgency == job_urgency::patient || m_in.options.move_all;
-        if (leaving && running && patient) {
+        const bool is_running = job.state == job_state::running || job.state == job_state::assigned;
+        const bool must_stop = job.urgency == job_urgency::patient || m_input.options.stop_all_on_leaving_vm;
+        if (is_leaving && is_running && must_stop) {
             job.state = job_state::stopping;
             job.reason = "its VM is leaving";
-            decide(job, "checkpoint and stop: its VM is leaving");
+            record_decision(job, "checkpoint and stop: its VM is leaving");
         }
     }
 
-    void charge_running() {
-        m_team_use = m_in.used_by_teams;
+    void account_running_jobs() {
+        m_team_usage = m_input.used_by_teams;
         for (const job_record& job : m_plan.next.jobs) {
-            if (!may_run(job.state)) {
+            if (!may_be_running(job.state)) {
                 continue;
             }
-            const job_size size = m_in.usage.planned_size(job);
-            charge_team(job);
-            if (const auto space = m_rooms.find(job.vm); space != m_rooms.end()) {
-                take(space->second, size);
+            const job_size size = m_input.usage.planned_size(job);
+            add_team_usage(job);
+            if (const auto found = m_free_capacity.find(job.vm); found != m_free_capacity.end()) {
+                reserve(found->second, size);
             }
         }
     }
 
-    static void take(room& space, const job_size& size) {
-        space.cpu -= size.cpu_millicores;
-        space.memory -= size.memory_mb;
-        space.accelerators -= size.accelerators;
-        ++space.tasks;
+    static void reserve(free_capacity& capacity, const job_size& size) {
+        capacity.cpu -= size.cpu_millicores;
+        capacity.memory -= size.memory_mb;
+        capacity.accelerators -= size.accelerators;
+        ++capacity.tasks;
     }
 
-    void charge_team(const job_record& job) {
-        m_team_use[job.team].cpu_millicores += job.size.cpu_millicores;
-        m_team_use[job.team].accelerators += job.size.accelerators;
+    void add_team_usage(const job_record& job) {
+        m_team_usage[job.team].cpu_millicores += job.size.cpu_millicores;
+        m_team_usage[job.team].accelerators += job.size.accelerators;
     }
 
     [[nodiscard]] bool within_quota(const job_record& job) {
-        const auto team = m_in.config.teams.find(job.team);
-        if (team == m_in.config.teams.end()) {
+        const auto team = m_input.config.teams.find(job.team);
+        if (team == m_input.config.teams.end()) {
             return false;
         }
-        const job_size& used = m_team_use[job.team];
+        const job_size& used = m_team_usage[job.team];
         return std::int64_t{used.cpu_millicores} + job.size.cpu_millicores <= team->second.cpu_millicores &&
                std::int64_t{used.accelerators} + job.size.accelerators <= team->second.accelerators;
     }
@@ -137,44 +139,45 @@
         std::stable_sort(waiting.begin(), waiting.end(),
                          [](const job_record* a, const job_record* b) { return a->urgency < b->urgency; });
         for (job_record* job : waiting) {
-            place(*job);
+            place_job(*job);
         }
     }
 
-    void place(job_record& job) {
-        if (job.failures >= failures_to_fail) {
+    void place_job(job_record& job) {
+        if (job.failures >= max_job_failures) {
             job.state = job_state::failed;
             job.reason = "failed " + std::to_string(job.failures) + " times, last on " + job.failed_on;
-            decide(job, job.reason);
+            record_decision(job, job.reason);
             return;
         }
-        const job_size size = m_in.usage.planned_size(job);
-        const bool possible = std::any_of(m_could_hold.begin(), m_could_hold.end(),
-                                          [&size](const vm_record* vm) { return fits(*vm, size); });
-        if (!possible) {
-            park(job, "no VM of pool " + m_in.pool + " is large enough");
+        const job_size size = m_input.usage.planned_size(job);
+        const bool fits_some_vm =
+            std::any_of(m_candidate_vms.begin(), m_candidate_vms.end(),
+                        [&size](const vm_record* vm) { return fits_empty_vm(*vm, size); });
+        if (!fits_some_vm) {
+            park(job, "no VM of pool " + m_input.pool + " is large enough");
             return;
         }
-        if (!m_in.config.teams.contains(job.team)) {
+        if (!m_input.config.teams.contains(job.team)) {
             park(job, "team " + job.team + " is not configured");
             return;
         }
         if (!within_quota(job)) {
-            note_waiting(job, "quota of team " + job.team + " is used up");
+            record_waiting(job, "quota of team " + job.team + " is used up");
             return;
         }
-        if (waits_for_own_vm(job)) {
-            note_waiting(job, "waits for " + job.last_vm + " to come back");
+        if (waits_for_last_vm(job)) {
+            record_waiting(job, "waits for " + job.last_vm + " to come back");
             return;
         }
-        if (room* space = best_room(job, size)) {
-            assign(job, *space, size);
+        if (free_capacity* capacity = find_best_vm(job, size)) {
+            assign(job, *capacity, size);
             return;
         }
         if (job.urgency == job_urgency::urgent) {
-            make_way(job, size);
+            preempt_for(job, size);
         }
-        note_waiting(job, "no VM has room");
+        record_waiting(job, "no VM has room");
     }
 
     void park(job_record& job, const std::string& reason) {
@@ -183,48 +186,49 @@
         }
         job.state = job_state::parked;
         job.reason = reason;
-        decide(job, "parked: " + reason);
+        record_decision(job, "parked: " + reason);
     }
 
-    void note_waiting(job_record& job, const std::string& reason) {
+    void record_waiting(job_record& job, const std::string& reason) {
         job.state = job_state::queued;
         if (job.reason != reason) {
             job.reason = reason;
-            decide(job, "waits: " + reason);
+            record_decision(job, "waits: " + reason);
         }
     }
 
     /// Whether the job had better wait for the VM that it ran on, which is being maintained or has restarted.
     /// It ends when the VM serves again, or when the planner gives it up and so takes it out of the pool.
-    [[nodiscard]] bool waits_for_own_vm(const job_record& job) const {
-        if (!m_in.options.hold_patient || job.urgency != job_urgency::patient ||
+    [[nodiscard]] bool waits_for_last_vm(const job_record& job) const {
+        if (!m_input.options.wait_for_last_vm || job.urgency != job_urgency::patient ||
             job.last_vm == job.failed_on) {
             return false;
         }
-        const vm_record* vm = m_in.fleet.find_vm(job.last_vm);
-        return vm != nullptr && vm->pool == m_in.pool && vm->state != vm_state::serving;
+        const vm_record* vm = m_input.fleet.find_vm(job.last_vm);
+        return vm != nullptr && vm->pool == m_input.pool && vm->state != vm_state::serving;
     }
 
     /// The fullest VM on which the job fits keeps large gaps for large jobs; racks with fewer tasks of the
     /// same kind go first, so that one rack's loss hits few of them.
-    room* best_room(const job_record& job, const job_size& size) {
+    free_capacity* find_best_vm(const job_record& job, const job_size& size) {
         std::map<std::string, int> same_kind;
         for (const job_record& other : m_plan.next.jobs) {
-            const vm_record* vm = may_run(other.state) ? m_in.fleet.find_vm(other.vm) : nullptr;
+            const vm_record* vm = may_be_running(other.state) ? m_input.fleet.find_vm(other.vm) : nullptr;
             if (vm != nullptr && other.kind == job.kind) {
                 ++same_kind[vm->rack];
             }
         }
-        room* best = nullptr;
-        const auto rank = [&](const room& space) {
-            const bool elsewhere = !job.last_vm.empty() && space.vm->id != job.last_vm;
-            return std::tuple(space.vm->id == job.failed_on, elsewhere, is_due(*space.vm),
-                              same_kind[space.vm->rack], space.cpu);
+        free_capacity* best = nullptr;
+        const auto rank = [&](const free_capacity& capacity) {
+            const bool is_move = !job.last_vm.empty() && capacity.vm->id != job.last_vm;
+            return std::tuple(capacity.vm->id == job.failed_on, is_move, has_pending_wave(*capacity.vm),
+                              same_kind[capacity.vm->rack], capacity.cpu);
         };
-        for (auto& [id, space] : m_rooms) {
-            const bool better = best == nullptr || (!m_in.options.first_fit && rank(space) < rank(*best));
-            if (holds(space, size) && better) {
-                best = &space;
+        for (auto& [id, capacity] : m_free_capacity) {
+            const bool is_better =
+                best == nullptr || (!m_input.options.first_fit && rank(capacity) < rank(*best));
+            if (has_capacity_for(capacity, size) && is_better) {
+                best = &capacity;
             }
         }
         return best;
@@ -232,29 +236,29 @@
 
     /// Whether the VM's turn in a running wave is still to come: what starts there now would soon have to
     /// move.
-    [[nodiscard]] bool is_due(const vm_record& vm) const {
-        return m_in.options.avoid_due &&
-               std::any_of(m_in.config.waves.begin(), m_in.config.waves.end(), [&vm](const auto& item) {
+    [[nodiscard]] bool has_pending_wave(const vm_record& vm) const {
+        return m_input.options.avoid_pending_wave &&
+               std::any_of(m_input.config.waves.begin(), m_input.config.waves.end(), [&vm](const auto& item) {
                    const wave_settings& wave = item.second;
                    return !wave.paused && (wave.pool == "*" || wave.pool == vm.pool) &&
-                          vm.wave < static_cast<std::uint64_t>(wave.order);
+                          vm.completed_wave < static_cast<std::uint64_t>(wave.order);
                });
     }
 
-    void assign(job_record& job, room& space, const job_size& size) {
+    void assign(job_record& job, free_capacity& capacity, const job_size& size) {
         job.state = job_state::assigned;
-        job.vm = space.vm->id;
-        job.vm_epoch = space.vm->epoch;
+        job.vm = capacity.vm->id;
+        job.vm_epoch = capacity.vm->epoch;
         job.moves += !job.last_vm.empty() && job.last_vm != job.vm ? 1 : 0;
         ++job.epoch;
         job.reason.clear();
-        take(space, size);
-        charge_team(job);
-        decide(job, "assigned epoch=" + std::to_string(job.epoch) + " rack=" + space.vm->rack);
+        reserve(capacity, size);
+        add_team_usage(job);
+        record_decision(job, "assigned epoch=" + std::to_string(job.epoch) + " rack=" + capacity.vm->rack);
     }
 
     /// Stops the patient job whose leaving frees enough room for the urgent one, if there is one.
-    void make_way(const job_record& urgent, const job_size& size) {
+    void preempt_for(const job_record& urgent, const job_size& size) {
         const std::string reason = "makes way for " + urgent.id;
         for (const job_record& job : m_plan.next.jobs) {
             if (job.state == job_state::stopping && job.reason == reason) {
@@ -265,52 +269,52 @@
             if (job.urgency != job_urgency::patient || job.state != job_state::running) {
                 continue;
             }
-            const auto space = m_rooms.find(job.vm);
-            if (space == m_rooms.end()) {
+            const auto found = m_free_capacity.find(job.vm);
+            if (found == m_free_capacity.end()) {
                 continue;
             }
-            room after = space->second;
-            const job_size freed = m_in.usage.planned_size(job);
+            free_capacity after = found->second;
+            const job_size freed = m_input.usage.planned_size(job);
             after.cpu += freed.cpu_millicores;
             after.memory += freed.memory_mb;
             after.accelerators += freed.accelerators;
-            if (holds(after, size)) {
+            if (has_capacity_for(after, size)) {
                 job.state = job_state::stopping;
                 job.reason = reason;
-                decide(job, "checkpoint and stop: " + reason);
-                space->second.cpu = space->second.memory = 0; // Its room is spoken for.
+                record_decision(job, "checkpoint and stop: " + reason);
+                found->second.cpu = found->second.memory = 0; // Its room is spoken for.
                 return;
             }
         }
     }
 
-    const placement_input& m_in;
+    const placement_input& m_input;
     placement_plan m_plan;
-    std::map<std::string, room> m_rooms;
-    std::vector<const vm_record*> m_could_hold;
-    std::map<std::string, job_size> m_team_use;
+    std::map<std::string, free_capacity> m_free_capacity;
+    std::vector<const vm_record*> m_candidate_vms;
+    std::map<std::string, job_size> m_team_usage;
 };
 
 } // namespace
 
-void usage_estimates::look(const std::string& pool, const job_table& table) {
-    std::set<std::string>& learnt = m_learnt[pool];
+void usage_estimates::update_from_table(const std::string& pool, const job_table& table) {
+    std::set<std::string>& counted = m_counted_jobs[pool];
     std::set<std::string> ended;
     for (const job_record& job : table.jobs) {
         if (job.state != job_state::done) {
             continue;
         }
-        if (!learnt.contains(job.id) && job.used.cpu_millicores > 0) {
-            learn(job.kind, job.used);
+        if (!counted.contains(job.id) && job.used.cpu_millicores > 0) {
+            record_usage(job.kind, job.used);
         }
         ended.insert(job.id);
     }
-    learnt = std::move(ended);
+    counted = std::move(ended);
 }
 
-void usage_estimates::learn(const std::string& kind, const job_size& used) {
+void usage_estimates::record_usage(const std::string& kind, const job_size& used) {
     estimate& known = m_kinds[kind];
-    const double weight = known.reports == 0 ? 1 : usage_weight;
+    const double weight = known.reports == 0 ? 1 : estimate_weight;
     known.cpu_millicores += weight * (used.cpu_millicores - known.cpu_millicores);
     known.memory_mb += weight * (used.memory_mb - known.memory_mb);
     ++known.reports;
@@ -318,7 +322,7 @@
 
 job_size usage_estimates::planned_size(const job_record& job) const {
     const auto found = m_kinds.find(job.kind);
-    if (found == m_kinds.end() || found->second.reports < reports_to_believe) {
+    if (found == m_kinds.end() || found->second.reports < min_reports_for_estimate) {
         return job.size;
     }
     return {static_cast<std::uint32_t>(std::ceil(found->second.cpu_millicores * usage_margin)),
@@ -326,14 +330,14 @@
             job.size.accelerators};
 }
 
-bool fits(const vm_record& vm, const job_size& size) {
+bool fits_empty_vm(const vm_record& vm, const job_size& size) {
     return vm.cores * 1000U >= size.cpu_millicores && vm.memory_mb >= size.memory_mb &&
            vm.accelerators >= size.accelerators;
 }
 
 placement_options placement_options_for(const weight_settings& weights) {
     placement_options options;
-    options.hold_patient = weights.moves > weights.buffer;
+    options.wait_for_last_vm = weights.moves > weights.buffer;
     return options;
 }
 
--- a/policy/placement.hpp
+++ b/policy/placement.hpp
@@ -17,10 +17,10 @@
 class usage_estimates {
   public:
     /// Learns from the jobs of a pool that have ended since the last look.
-    void look(const std::string& pool, const job_table& table);
+    void update_from_table(const std::string& pool, const job_table& table);
 
     /// Takes in what one task has used.
-    void learn(const std::string& kind, const job_size& used);
+    void record_usage(const std::string& kind, const job_size& used);
 
     /// Size to plan with: what the kind was seen to use, a margin added, or the declared size while unknown.
     [[nodiscard]] job_size planned_size(const job_record& job) const;
@@ -33,13 +33,13 @@
     };
     std::map<std::string, estimate> m_kinds;
     std::map<std::string, std::set<std::string>>
-        m_learnt; ///< Ended jobs of each pool that have been counted.
+        m_counted_jobs; ///< Ended jobs of each pool that have been counted.
 };
 
 /// What the workers have shown about a VM, beyond the fleet record.
 struct worker_health {
-    int failures_in_row = 0; ///< Tasks of different jobs that failed there one after another.
-    timestamp aside_until{0};
+    int consecutive_failures = 0; ///< Tasks of different jobs that failed there one after another.
+    timestamp quarantined_until{0};
 };
 
 /// One placement decision.
@@ -60,10 +60,10 @@
 
 /// How jobs are placed; the first-fit baseline is kept for comparison.
 struct placement_options {
-    bool first_fit = false;    ///< Take the first VM with room, whatever follows from it.
-    bool move_all = false;     ///< Stop every job on a leaving VM, not only patient ones.
-    bool hold_patient = false; ///< A patient job waits for its own VM to come back rather than move.
-    bool avoid_due =
+    bool first_fit = false;              ///< Take the first VM with room, whatever follows from it.
+    bool stop_all_on_leaving_vm = false; ///< Stop every job on a leaving VM, not only patient ones.
+    bool wait_for_last_vm = false; ///< A patient job waits for its own VM to come back rather than move.
+    bool avoid_pending_wave =
         true; ///< Start jobs on VMs whose turn in a wave is still to come only when no other has room.
 };
 
@@ -87,7 +87,7 @@
 };
 
 /// Whether the VM could ever hold the size when empty.
-[[nodiscard]] bool fits(const vm_record& vm, const job_size& size);
+[[nodiscard]] bool fits_empty_vm(const vm_record& vm, const job_size& size);
 
 /// Places queued jobs on the pool's own serving VMs, and takes jobs off VMs that are leaving. Pure.
 ///
--- a/policy/planner.cpp
+++ b/policy/planner.cpp
@@ -2,13 +2,13 @@
 
 namespace siskinpaddle {
 
-planner_options options_for(const weight_settings& weights) {
+planner_options planner_options_for(const weight_settings& weights) {
     planner_options options;
     // A move is paid when a VM that would have come back by itself is replaced. Most restarts are over within
     // minutes, so ten are always waited for while the promise holds; the dearer moves are beside idle VMs,
     // the longer.
     const std::int64_t ratio = weights.moves / std::max<std::int64_t>(1, weights.buffer);
-    options.restart_patience =
+    options.replacement_delay =
         std::clamp<milliseconds>(ratio * 10min, weights.moves == 0 ? 0min : 10min, 60min);
     return options;
 }
@@ -18,44 +18,44 @@
     return pass(*this, config, fleet, seen, now).run();
 }
 
-planner::pass::pass(planner& owner, const configuration& config, const fleet_record& fleet,
+planner::pass::pass(planner& parent, const configuration& config, const fleet_record& fleet,
                     const observations& seen, timestamp now)
-    : m_owner(owner), m_config(config), m_fleet(fleet), m_seen(seen), m_now(now),
+    : m_parent(parent), m_config(config), m_fleet(fleet), m_observations(seen), m_now(now),
       m_next_revision(fleet.revision + 1) {
     m_plan.next = fleet;
-    m_list_is_fresh = seen.list_known && now - seen.list_read <= list_age_bound;
+    m_is_list_fresh = seen.is_list_known && now - seen.list_read_at <= max_list_age;
 }
 
 fleet_plan planner::pass::run() {
-    remember_states();
-    drop_gone_entries();
-    pair_with_list();
-    if (m_list_is_fresh) {
-        read_list();
-        note_suspicions();
+    record_states();
+    remove_gone_entries();
+    match_with_list();
+    if (m_is_list_fresh) {
+        apply_vm_list();
+        handle_suspected_vms();
     }
-    m_plan.pools = measure_availability(m_config, m_plan.next, m_seen, m_now);
+    m_plan.pools = measure_availability(m_config, m_plan.next, m_observations, m_now);
     for (vm_record& vm : m_plan.next.vms) {
         advance(vm);
     }
-    m_plan.pools = measure_availability(m_config, m_plan.next, m_seen, m_now);
-    if (planned_steps_allowed()) {
+    m_plan.pools = measure_availability(m_config, m_plan.next, m_observations, m_now);
+    if (check_planned_steps_allowed()) {
         fill_pools();
-        shed_surplus();
+        release_surplus();
         run_waves();
     }
-    forget_lost();
+    remove_lost_vms();
     m_plan.changed = m_plan.next != m_fleet;
     m_plan.next.revision = m_plan.changed ? m_next_revision : m_fleet.revision;
     return std::move(m_plan);
 }
 
 /// A machine that was lost and given up, and that the platform lists no more, is no part of the fleet.
-void planner::pass::forget_lost() {
+void planner::pass::remove_lost_vms() {
     std::set<std::string> gone;
     for (const vm_record& vm : m_plan.next.vms) {
-        if (vm.state == vm_state::lost && vm.pool.empty() && listed(vm) == nullptr &&
-            in_state_for(vm, 10min)) {
+        if (vm.state == vm_state::lost && vm.pool.empty() && find_listed_vm(vm) == nullptr &&
+            is_in_state_for(vm, 10min)) {
             gone.insert(vm.id);
         }
     }
@@ -64,31 +64,31 @@
     }
 }
 
-void planner::pass::remember_states() {
+void planner::pass::record_states() {
     for (const vm_record& vm : m_fleet.vms) {
-        known_state& known = m_owner.m_states[vm.id];
-        if (known.revision != vm.since || known.since == timestamp{0}) {
-            known = {vm.since, m_now};
+        known_state& known = m_parent.m_states[vm.id];
+        if (known.revision != vm.state_revision || known.first_seen == timestamp{0}) {
+            known = {vm.state_revision, m_now};
         }
     }
 }
 
-void planner::pass::drop_gone_entries() {
+void planner::pass::remove_gone_entries() {
     for (const entry_record& entry : m_fleet.entries) {
         const std::string incarnation = entry.id + "@" + std::to_string(entry.incarnation);
-        const bool by_operator = m_config.removed_entries.contains(incarnation);
-        if (by_operator || entry_proven_gone(entry, m_seen, m_now)) {
+        const bool is_removed_by_operator = m_config.removed_entries.contains(incarnation);
+        if (is_removed_by_operator || is_entry_confirmed_gone(entry, m_observations, m_now)) {
             m_plan.next.remove_entry(entry.id);
-            m_plan.decisions.push_back(
-                {"", "entry " + incarnation + " removed: " +
-                         (by_operator ? "by the operator's word" : "its port refuses connections")});
+            m_plan.decisions.push_back({"", "entry " + incarnation + " removed: " +
+                                                (is_removed_by_operator ? "by the operator's word"
+                                                                        : "its port refuses connections")});
         }
     }
 }
 
-void planner::pass::read_list() {
-    for (const auto& [id, item] : m_seen.listed) {
-        if (m_plan.next.find_vm(id) != nullptr || item.state != listing::live) {
+void planner::pass::apply_vm_list() {
+    for (const auto& [id, item] : m_observations.listed_vms) {
+        if (m_plan.next.find_vm(id) != nullptr || item.state != listing_state::live) {
             continue;
         }
         vm_record vm;
@@ -101,53 +101,53 @@
         vm.cores = item.cores;
         vm.memory_mb = item.memory_mb;
         vm.accelerators = item.accelerators;
-        vm.boot = item.boot;
-        vm.wave = newest_wave("*");
-        vm.since = m_next_revision;
+        vm.boot_count = item.boot_count;
+        vm.completed_wave = newest_wave("*");
+        vm.state_revision = m_next_revision;
         m_plan.decisions.push_back({id, "discovered in " + item.availability_zone});
         m_plan.next.put_vm(std::move(vm));
     }
-    pair_with_list();
+    match_with_list();
     for (vm_record& vm : m_plan.next.vms) {
-        if (const listed_vm* item = listed(vm)) {
-            if (!m_owner.m_unlisted_since.empty()) {
-                m_owner.m_unlisted_since.erase(vm.id);
+        if (const listed_vm* item = find_listed_vm(vm)) {
+            if (!m_parent.m_unlisted_since.empty()) {
+                m_parent.m_unlisted_since.erase(vm.id);
             }
-            note_listed(vm, *item);
+            handle_listed_vm(vm, *item);
         } else {
-            note_missing(vm);
+            handle_unlisted_vm(vm);
         }
     }
 }
 
-void planner::pass::note_missing(vm_record& vm) {
-    const auto since = m_owner.m_unlisted_since.try_emplace(vm.id, m_now).first->second;
-    const bool expected = vm.state == vm_state::in_maintenance || vm.state == vm_state::lost;
-    if (!expected && m_now - since >= m_owner.m_options.lost_after) {
-        lose(vm, "no longer listed");
+void planner::pass::handle_unlisted_vm(vm_record& vm) {
+    const auto since = m_parent.m_unlisted_since.try_emplace(vm.id, m_now).first->second;
+    const bool is_expected = vm.state == vm_state::in_maintenance || vm.state == vm_state::lost;
+    if (!is_expected && m_now - since >= m_parent.m_options.unlisted_timeout) {
+        mark_lost(vm, "no longer listed");
     }
 }
 
-void planner::pass::note_listed(vm_record& vm, const listed_vm& item) {
-    const bool rebooted = item.boot > vm.boot;
-    if (vm.state == vm_state::serving && item.state == listing::leaving) {
+void planner::pass::handle_listed_vm(vm_record& vm, const listed_vm& item) {
+    const bool has_rebooted = item.boot_count > vm.boot_count;
+    if (vm.state == vm_state::serving && item.state == listing_state::leaving) {
         vm.reason = stop_reason::retire;
-        enter(vm, vm_state::cordoned, "the platform is taking it away");
+        set_state(vm, vm_state::cordoned, "the platform is taking it away");
         return;
     }
-    if (!rebooted || vm.state == vm_state::in_maintenance || vm.state == vm_state::lost) {
+    if (!has_rebooted || vm.state == vm_state::in_maintenance || vm.state == vm_state::lost) {
         return;
     }
     if (vm.state == vm_state::serving || vm.state == vm_state::returning) {
-        vm.boot = item.boot;
+        vm.boot_count = item.boot_count;
         ++vm.epoch;
-        enter(vm, vm_state::returning, "restarted by itself");
+        set_state(vm, vm_state::returning, "restarted by itself");
         return;
     }
-    vm.boot = item.boot;
+    vm.boot_count = item.boot_count;
 }
 
-void planner::pass::note_suspicions() {
+void planner::pass::handle_suspected_vms() {
     std::map<std::string, std::vector<vm_record*>> suspects;
     std::map<std::string, std::int64_t> serving;
     for (vm_record& vm : m_plan.next.vms) {
@@ -155,54 +155,54 @@
             continue;
         }
         ++serving[vm.availability_zone];
-        if (suspected_by_own_zone(vm)) {
+        if (is_suspected_by_own_zone(vm)) {
             suspects[vm.availability_zone].push_back(&vm);
         }
     }
     for (const auto& [zone, vms] : suspects) {
         // When most of a zone fails at once its network or its entries are the likelier fault, and declaring
         // its VMs lost would throw away the capacity that is left.
-        const std::int64_t believable = std::max<std::int64_t>(1, serving[zone] / 2);
-        if (static_cast<std::int64_t>(vms.size()) > believable) {
-            wait("zone " + zone, "most of its VMs are suspected; not believed");
+        const std::int64_t max_suspects = std::max<std::int64_t>(1, serving[zone] / 2);
+        if (static_cast<std::int64_t>(vms.size()) > max_suspects) {
+            record_wait("zone " + zone, "most of its VMs are suspected; not believed");
             continue;
         }
         for (vm_record* vm : vms) {
-            lose(*vm, "its own zone's entries can't reach it");
+            mark_lost(*vm, "its own zone's entries can't reach it");
         }
     }
 }
 
-bool planner::pass::suspected_by_own_zone(const vm_record& vm) const {
-    bool suspected = false;
+bool planner::pass::is_suspected_by_own_zone(const vm_record& vm) const {
+    bool is_suspected = false;
     for (const entry_record& entry : m_fleet.entries) {
-        const auto report = m_seen.entries.find(entry.id);
-        if (entry.availability_zone != vm.availability_zone || report == m_seen.entries.end() ||
-            m_now - report->second.heard > zone_silence_bound) {
+        const auto report = m_observations.entries.find(entry.id);
+        if (entry.availability_zone != vm.availability_zone || report == m_observations.entries.end() ||
+            m_now - report->second.received_at > zone_silence_timeout) {
             continue;
         }
         if (!report->second.suspect_vms.contains(vm.id)) {
             return false;
         }
-        suspected = true;
+        is_suspected = true;
     }
-    return suspected;
+    return is_suspected;
 }
 
-void planner::pass::enter(vm_record& vm, vm_state state, const std::string& why) {
+void planner::pass::set_state(vm_record& vm, vm_state state, const std::string& why) {
     m_plan.decisions.push_back({vm.id, std::string(name_of(vm.state)) + " -> " + std::string(name_of(state)) +
                                            " pool=" + (vm.pool.empty() ? "-" : vm.pool) + ": " + why});
     vm.state = state;
-    vm.since = m_next_revision;
-    m_counts_stale = true;
+    vm.state_revision = m_next_revision;
+    m_are_counts_stale = true;
 }
 
-void planner::pass::lose(vm_record& vm, const std::string& why) {
+void planner::pass::mark_lost(vm_record& vm, const std::string& why) {
     ++vm.epoch;
     vm.reason = stop_reason::failure;
-    vm.goal_wave = 0;
+    vm.active_wave = 0;
     vm.next_pool.clear();
-    enter(vm, vm_state::lost, why);
+    set_state(vm, vm_state::lost, why);
 }
 
 void planner::pass::begin_maintenance(vm_record& vm, const std::string& pool, const std::string& why) {
@@ -211,43 +211,43 @@
     }
     vm.pool = pool;
     vm.next_pool.clear();
-    vm.goal_wave = std::max(vm.goal_wave, newest_wave(pool));
-    if (const listed_vm* item = listed(vm)) {
-        vm.boot = item->boot;
+    vm.active_wave = std::max(vm.active_wave, newest_wave(pool));
+    if (const listed_vm* item = find_listed_vm(vm)) {
+        vm.boot_count = item->boot_count;
     }
-    enter(vm, vm_state::in_maintenance, why);
+    set_state(vm, vm_state::in_maintenance, why);
 }
 
-void planner::pass::wait(std::string subject, std::string reason) {
+void planner::pass::record_wait(std::string subject, std::string reason) {
     m_plan.waits.push_back({std::move(subject), std::move(reason)});
 }
 
-const listed_vm* planner::pass::listed(const vm_record& vm) const {
+const listed_vm* planner::pass::find_listed_vm(const vm_record& vm) const {
     return m_listed[static_cast<std::size_t>(&vm - m_plan.next.vms.data())];
 }
 
-void planner::pass::pair_with_list() {
+void planner::pass::match_with_list() {
     m_listed.assign(m_plan.next.vms.size(), nullptr);
-    auto item = m_seen.listed.begin();
+    auto item = m_observations.listed_vms.begin();
     for (std::size_t i = 0; i < m_listed.size(); ++i) {
-        while (item != m_seen.listed.end() && item->first < m_plan.next.vms[i].id) {
+        while (item != m_observations.listed_vms.end() && item->first < m_plan.next.vms[i].id) {
             ++item;
         }
-        if (item != m_seen.listed.end() && item->first == m_plan.next.vms[i].id) {
+        if (item != m_observations.listed_vms.end() && item->first == m_plan.next.vms[i].id) {
             m_listed[i] = &item->second;
         }
     }
 }
 
-bool planner::pass::in_state_for(const vm_record& vm, milliseconds bound) const {
-    const auto known = m_owner.m_states.find(vm.id);
-    return known != m_owner.m_states.end() && known->second.revision == vm.since &&
-           m_now - known->second.since >= bound;
+bool planner::pass::is_in_state_for(const vm_record& vm, milliseconds bound) const {
+    const auto known = m_parent.m_states.find(vm.id);
+    return known != m_parent.m_states.end() && known->second.revision == vm.state_revision &&
+           m_now - known->second.first_seen >= bound;
 }
 
-int planner::pass::tasks_on(const vm_record& vm) const {
-    const auto found = m_seen.tasks.find(vm.id);
-    return found == m_seen.tasks.end() ? 0 : found->second;
+int planner::pass::count_tasks_on(const vm_record& vm) const {
+    const auto found = m_observations.tasks.find(vm.id);
+    return found == m_observations.tasks.end() ? 0 : found->second;
 }
 
 std::uint64_t planner::pass::newest_wave(const std::string& pool) const {
--- a/policy/planner.hpp
+++ b/policy/planner.hpp
@@ -13,17 +13,17 @@
 
 /// How the planner trades buffer against moves; the baseline is kept for comparison.
 struct planner_options {
-    bool share_free_vms = true;   ///< Lend free VMs to a pool while its wave runs.
-    bool lend_spares = true;      ///< Give a breached pool another pool's spare VM when none is free.
-    bool keep_returned_vm = true; ///< A VM that replaced another stays, the other becomes free.
-    milliseconds restart_patience = 10min; ///< How long a lost VM may come back before it is replaced.
-    std::int64_t reserve = 0;              ///< VMs above the promise that planned steps leave untouched.
-    bool first_fit = false;                ///< Take VMs in order of their ids, not by tasks and racks.
-    milliseconds lost_after = 10s;         ///< How long a VM must be unlisted before it counts as lost.
+    bool share_free_vms = true;      ///< Lend free VMs to a pool while its wave runs.
+    bool lend_spares = true;         ///< Give a breached pool another pool's spare VM when none is free.
+    bool keep_replacement_vm = true; ///< A VM that replaced another stays, the other becomes free.
+    milliseconds replacement_delay = 10min; ///< How long a lost VM may come back before it is replaced.
+    std::int64_t reserve = 0;               ///< VMs above the promise that planned steps leave untouched.
+    bool first_fit = false;                 ///< Take VMs in order of their ids, not by tasks and racks.
+    milliseconds unlisted_timeout = 10s;    ///< How long a VM must be unlisted before it counts as lost.
 };
 
 /// Derives the options from an operator's weights: what moves cost sets the patience before a replacement.
-[[nodiscard]] planner_options options_for(const weight_settings& weights);
+[[nodiscard]] planner_options planner_options_for(const weight_settings& weights);
 
 /// Asks the platform to reboot a VM for its pool. Repeating it is harmless: the platform knows the operation
 /// by VM and epoch or boot count.
@@ -80,7 +80,7 @@
     /// When a VM's present state was first seen.
     struct known_state {
         std::uint64_t revision = 0;
-        timestamp since{0};
+        timestamp first_seen{0};
     };
 
     planner_options m_options;
--- a/policy/planner_pass.hpp
+++ b/policy/planner_pass.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "policy/grace.hpp"
+#include "policy/entry_checks.hpp"
 #include "policy/planner.hpp"
 
 #include <optional>
@@ -12,7 +12,7 @@
 /// be lost is settled before anything planned is begun.
 class planner::pass {
   public:
-    pass(planner& owner, const configuration& config, const fleet_record& fleet, const observations& seen,
+    pass(planner& parent, const configuration& config, const fleet_record& fleet, const observations& seen,
          timestamp now);
 
     fleet_plan run();
@@ -21,18 +21,18 @@
     /// Counts over the VMs of one pool.
     struct pool_counts {
         std::int64_t held = 0;          ///< In the pool and staying, or on their way to it.
-        std::int64_t awaiting_turn = 0; ///< Whose turn in a running wave is still to come.
+        std::int64_t awaiting_wave = 0; ///< Whose turn in a running wave is still to come.
     };
 
     [[nodiscard]] const pool_counts& counts_for(const std::string& pool) const;
-    void count(const vm_record& vm) const;
+    void add_to_counts(const vm_record& vm) const;
 
     // Facts: what has happened to entries and VMs without our doing.
-    void drop_gone_entries();
-    void read_list();
-    void note_missing(vm_record& vm);
-    void note_listed(vm_record& vm, const listed_vm& listed);
-    void note_suspicions();
+    void remove_gone_entries();
+    void apply_vm_list();
+    void handle_unlisted_vm(vm_record& vm);
+    void handle_listed_vm(vm_record& vm, const listed_vm& listed);
+    void handle_suspected_vms();
 
     // Progress of steps begun earlier.
     void advance(vm_record& vm);
@@ -46,47 +46,47 @@
 
     // New planned steps.
     void fill_pools();
-    void shed_surplus();
+    void release_surplus();
     void lend_spare(const std::string& receiver);
     void run_waves();
     void run_wave(const std::string& name, const wave_settings& wave);
-    void take_for_wave(vm_record& vm, const wave_settings& wave);
-    void wait_for_budget(const std::string& wave, const vm_record& vm);
+    void start_wave_maintenance(vm_record& vm, const wave_settings& wave);
+    void record_budget_wait(const std::string& wave, const vm_record& vm);
 
-    [[nodiscard]] bool planned_steps_allowed();
-    [[nodiscard]] std::int64_t held_for(const std::string& pool) const;
+    [[nodiscard]] bool check_planned_steps_allowed();
+    [[nodiscard]] std::int64_t count_held_vms(const std::string& pool) const;
     [[nodiscard]] std::int64_t target_size(const std::string& pool) const;
-    [[nodiscard]] bool wave_remaining(const std::string& pool) const;
+    [[nodiscard]] bool has_wave_remaining(const std::string& pool) const;
     [[nodiscard]] std::uint64_t newest_wave(const std::string& pool) const;
-    [[nodiscard]] const listed_vm* listed(const vm_record& vm) const;
-    [[nodiscard]] bool in_state_for(const vm_record& vm, milliseconds bound) const;
-    [[nodiscard]] bool suspected_by_own_zone(const vm_record& vm) const;
-    [[nodiscard]] vm_record* best_free_vm(const std::string& pool);
-    [[nodiscard]] vm_record* least_loaded_vm(const std::string& pool);
-    [[nodiscard]] bool wave_runs_in(const std::string& pool) const;
-    [[nodiscard]] std::string pool_in_need() const;
-    [[nodiscard]] std::int64_t expected_back_in(const std::string& pool) const;
-    [[nodiscard]] int tasks_on(const vm_record& vm) const;
+    [[nodiscard]] const listed_vm* find_listed_vm(const vm_record& vm) const;
+    [[nodiscard]] bool is_in_state_for(const vm_record& vm, milliseconds bound) const;
+    [[nodiscard]] bool is_suspected_by_own_zone(const vm_record& vm) const;
+    [[nodiscard]] vm_record* find_best_free_vm(const std::string& pool);
+    [[nodiscard]] vm_record* find_least_loaded_vm(const std::string& pool);
+    [[nodiscard]] bool is_wave_running_in(const std::string& pool) const;
+    [[nodiscard]] std::string find_pool_below_target() const;
+    [[nodiscard]] std::int64_t count_expected_back(const std::string& pool) const;
+    [[nodiscard]] int count_tasks_on(const vm_record& vm) const;
 
-    void enter(vm_record& vm, vm_state state, const std::string& why);
-    void lose(vm_record& vm, const std::string& why);
+    void set_state(vm_record& vm, vm_state state, const std::string& why);
+    void mark_lost(vm_record& vm, const std::string& why);
     void begin_maintenance(vm_record& vm, const std::string& pool, const std::string& why);
-    void remember_states();
-    void pair_with_list();
-    void forget_lost();
-    void wait(std::string subject, std::string reason);
+    void record_states();
+    void match_with_list();
+    void remove_lost_vms();
+    void record_wait(std::string subject, std::string reason);
 
-    planner& m_owner;
+    planner& m_parent;
     const configuration& m_config;
     const fleet_record& m_fleet;
-    const observations& m_seen;
+    const observations& m_observations;
     timestamp m_now;
     fleet_plan m_plan;
     std::uint64_t m_next_revision;
-    bool m_list_is_fresh = false;
+    bool m_is_list_fresh = false;
     std::vector<const listed_vm*> m_listed; ///< For each VM of the next record, in its order.
     mutable std::map<std::string, pool_counts> m_counts;
-    mutable bool m_counts_stale = true;
+    mutable bool m_are_counts_stale = true;
 };
 
 } // namespace siskinpaddle
--- a/policy/planner_steps.cpp
+++ b/policy/planner_steps.cpp
@@ -7,26 +7,26 @@
 
 namespace {
 
-bool leaves_pool(const vm_record& vm) {
-    const bool leaving =
+bool is_leaving_pool(const vm_record& vm) {
+    const bool is_leaving =
         vm.state == vm_state::cordoned || vm.state == vm_state::draining || vm.state == vm_state::drained;
-    return leaving && (vm.reason == stop_reason::move || vm.reason == stop_reason::retire);
+    return is_leaving && (vm.reason == stop_reason::move || vm.reason == stop_reason::retire);
 }
 
-bool out_for_wave(const vm_record& vm, std::uint64_t order) {
-    return vm.goal_wave == order && vm.state != vm_state::serving && vm.state != vm_state::free &&
+bool is_out_for_wave(const vm_record& vm, std::uint64_t order) {
+    return vm.active_wave == order && vm.state != vm_state::serving && vm.state != vm_state::free &&
            vm.state != vm_state::lost;
 }
 
 } // namespace
 
-bool planner::pass::planned_steps_allowed() {
-    if (!m_seen.list_known) {
-        wait("fleet", "the VM list is not known yet");
+bool planner::pass::check_planned_steps_allowed() {
+    if (!m_observations.is_list_known) {
+        record_wait("fleet", "the VM list is not known yet");
         return false;
     }
-    if (!m_list_is_fresh) {
-        wait("fleet", "the VM list is older than " + std::to_string(list_age_bound.count()) + " ms");
+    if (!m_is_list_fresh) {
+        record_wait("fleet", "the VM list is older than " + std::to_string(max_list_age.count()) + " ms");
         return false;
     }
     return true;
@@ -34,37 +34,37 @@
 
 /// Counts once over all VMs what the steps ask for each pool again and again; enter() makes the counts stale.
 const planner::pass::pool_counts& planner::pass::counts_for(const std::string& pool) const {
-    if (m_counts_stale) {
+    if (m_are_counts_stale) {
         m_counts.clear();
         for (const vm_record& vm : m_plan.next.vms) {
-            count(vm);
+            add_to_counts(vm);
         }
-        m_counts_stale = false;
+        m_are_counts_stale = false;
     }
     return m_counts[pool];
 }
 
-void planner::pass::count(const vm_record& vm) const {
+void planner::pass::add_to_counts(const vm_record& vm) const {
     if (vm.state == vm_state::lost) {
         return;
     }
-    ++m_counts[leaves_pool(vm) ? vm.next_pool : vm.pool].held;
+    ++m_counts[is_leaving_pool(vm) ? vm.next_pool : vm.pool].held;
     pool_counts& own = m_counts[vm.pool];
     for (const auto& [name, wave] : m_config.waves) {
         const auto order = static_cast<std::uint64_t>(wave.order);
-        const bool in_scope = !wave.paused && (wave.pool == "*" || wave.pool == vm.pool);
-        if (in_scope && vm.wave < order && vm.goal_wave != order) {
-            ++own.awaiting_turn;
+        const bool is_in_scope = !wave.paused && (wave.pool == "*" || wave.pool == vm.pool);
+        if (is_in_scope && vm.completed_wave < order && vm.active_wave != order) {
+            ++own.awaiting_wave;
         }
     }
 }
 
-std::int64_t planner::pass::held_for(const std::string& pool) const {
+std::int64_t planner::pass::count_held_vms(const std::string& pool) const {
     return counts_for(pool).held;
 }
 
-bool planner::pass::wave_remaining(const std::string& pool) const {
-    return counts_for(pool).awaiting_turn > 0;
+bool planner::pass::has_wave_remaining(const std::string& pool) const {
+    return counts_for(pool).awaiting_wave > 0;
 }
 
 std::int64_t planner::pass::target_size(const std::string& pool) const {
@@ -72,15 +72,15 @@
     if (settings == m_config.pools.end()) {
         return 0;
     }
-    if (!m_owner.m_options.share_free_vms) {
+    if (!m_parent.m_options.share_free_vms) {
         return settings->second.size;
     }
-    const std::int64_t spare = settings->second.size - settings->second.promised - m_owner.m_options.reserve;
-    const std::int64_t wanted = wave_remaining(pool) ? 1 : 0;
+    const std::int64_t spare = settings->second.size - settings->second.promised - m_parent.m_options.reserve;
+    const std::int64_t wanted = has_wave_remaining(pool) ? 1 : 0;
     return settings->second.size + std::max<std::int64_t>(0, wanted - std::max<std::int64_t>(0, spare));
 }
 
-vm_record* planner::pass::best_free_vm(const std::string& pool) {
+vm_record* planner::pass::find_best_free_vm(const std::string& pool) {
     std::map<std::string, int> per_zone;
     std::map<std::string, int> per_rack;
     for (const vm_record& vm : m_plan.next.vms) {
@@ -94,12 +94,12 @@
         return std::tuple(per_zone[vm.availability_zone], per_rack[vm.rack]);
     };
     for (vm_record& vm : m_plan.next.vms) {
-        const listed_vm* item = listed(vm);
-        const bool usable = vm.state == vm_state::free && vm.since != m_next_revision && item != nullptr &&
-                            item->state == listing::live;
-        const bool better =
-            best == nullptr || (!m_owner.m_options.first_fit && crowding(vm) < crowding(*best));
-        if (usable && better) {
+        const listed_vm* item = find_listed_vm(vm);
+        const bool is_usable = vm.state == vm_state::free && vm.state_revision != m_next_revision &&
+                               item != nullptr && item->state == listing_state::live;
+        const bool is_better =
+            best == nullptr || (!m_parent.m_options.first_fit && crowding(vm) < crowding(*best));
+        if (is_usable && is_better) {
             best = &vm;
         }
     }
@@ -113,45 +113,45 @@
     std::int64_t most = 0;
     for (const auto& [name, pool] : m_plan.pools) {
         const std::int64_t above = pool.available - pool.promised;
-        if (m_owner.m_options.lend_spares && name != receiver && above > most && pool.lost == 0) {
+        if (m_parent.m_options.lend_spares && name != receiver && above > most && pool.lost == 0) {
             lender = name;
             most = above;
         }
     }
-    vm_record* vm = most > 0 ? least_loaded_vm(lender) : nullptr;
+    vm_record* vm = most > 0 ? find_least_loaded_vm(lender) : nullptr;
     if (vm == nullptr) {
         return;
     }
     vm->reason = stop_reason::move;
     vm->next_pool = receiver;
     --m_plan.pools[lender].available;
-    enter(*vm, vm_state::cordoned,
-          "spare of " + lender + "; lent to " + receiver + ", which is below its promise");
+    set_state(*vm, vm_state::cordoned,
+              "spare of " + lender + "; lent to " + receiver + ", which is below its promise");
 }
 
-std::int64_t planner::pass::expected_back_in(const std::string& pool) const {
+std::int64_t planner::pass::count_expected_back(const std::string& pool) const {
     return std::count_if(m_plan.next.vms.begin(), m_plan.next.vms.end(), [&](const vm_record& vm) {
         return vm.pool == pool && vm.state == vm_state::lost &&
-               !in_state_for(vm, m_owner.m_options.restart_patience);
+               !is_in_state_for(vm, m_parent.m_options.replacement_delay);
     });
 }
 
 void planner::pass::fill_pools() {
     for (const auto& [name, settings] : m_config.pools) {
         const pool_availability& pool = m_plan.pools[name];
-        std::int64_t held = held_for(name);
+        std::int64_t held = count_held_vms(name);
         // A lost VM that may soon be back keeps its place while the promise holds without it.
-        const std::int64_t expected_back = pool.breached() ? 0 : expected_back_in(name);
+        const std::int64_t expected_back = pool.breached() ? 0 : count_expected_back(name);
         const std::int64_t target = target_size(name);
         if (held < target && held + expected_back >= target) {
-            wait("pool " + name, std::to_string(expected_back) + " lost VMs may come back; replaced after " +
-                                     std::to_string(m_owner.m_options.restart_patience.count() / 1000) +
-                                     " s");
+            record_wait("pool " + name,
+                        std::to_string(expected_back) + " lost VMs may come back; replaced after " +
+                            std::to_string(m_parent.m_options.replacement_delay.count() / 1000) + " s");
         }
         for (; held + expected_back < target; ++held) {
-            vm_record* vm = best_free_vm(name);
+            vm_record* vm = find_best_free_vm(name);
             if (vm == nullptr) {
-                wait("pool " + name, "needs a VM and none is free");
+                record_wait("pool " + name, "needs a VM and none is free");
                 if (pool.breached()) {
                     lend_spare(name);
                 }
@@ -163,53 +163,53 @@
     }
 }
 
-void planner::pass::shed_surplus() {
+void planner::pass::release_surplus() {
     for (vm_record& vm : m_plan.next.vms) {
         if (vm.state == vm_state::serving && !m_config.pools.contains(vm.pool)) {
             vm.reason = stop_reason::move;
             vm.next_pool.clear();
-            enter(vm, vm_state::cordoned, "its pool is no longer configured");
+            set_state(vm, vm_state::cordoned, "its pool is no longer configured");
         }
     }
     for (const auto& [name, settings] : m_config.pools) {
-        if (held_for(name) <= std::max(target_size(name), settings.size) || wave_runs_in(name)) {
+        if (count_held_vms(name) <= std::max(target_size(name), settings.size) || is_wave_running_in(name)) {
             continue;
         }
-        if (!may_take_out(m_plan.pools[name], 1, 0)) {
-            wait("pool " + name, "holds a VM too many but its budget leaves none to take");
+        if (!can_take_out_of_service(m_plan.pools[name], 1, 0)) {
+            record_wait("pool " + name, "holds a VM too many but its budget leaves none to take");
             continue;
         }
-        if (vm_record* vm = least_loaded_vm(name)) {
-            const std::string receiver = pool_in_need();
+        if (vm_record* vm = find_least_loaded_vm(name)) {
+            const std::string receiver = find_pool_below_target();
             vm->reason = stop_reason::move;
             vm->next_pool = receiver;
             --m_plan.pools[name].available;
-            enter(*vm, vm_state::cordoned, "surplus; goes to " + (receiver.empty() ? "free" : receiver));
+            set_state(*vm, vm_state::cordoned, "surplus; goes to " + (receiver.empty() ? "free" : receiver));
         }
     }
 }
 
-bool planner::pass::wave_runs_in(const std::string& pool) const {
-    return wave_remaining(pool) ||
+bool planner::pass::is_wave_running_in(const std::string& pool) const {
+    return has_wave_remaining(pool) ||
            std::any_of(m_plan.next.vms.begin(), m_plan.next.vms.end(), [&pool](const vm_record& vm) {
-               return vm.pool == pool && vm.goal_wave != 0 && vm.state != vm_state::serving;
+               return vm.pool == pool && vm.active_wave != 0 && vm.state != vm_state::serving;
            });
 }
 
-std::string planner::pass::pool_in_need() const {
+std::string planner::pass::find_pool_below_target() const {
     for (const auto& [name, settings] : m_config.pools) {
-        if (held_for(name) < target_size(name)) {
+        if (count_held_vms(name) < target_size(name)) {
             return name;
         }
     }
     return {};
 }
 
-vm_record* planner::pass::least_loaded_vm(const std::string& pool) {
+vm_record* planner::pass::find_least_loaded_vm(const std::string& pool) {
     vm_record* chosen = nullptr;
     for (vm_record& vm : m_plan.next.vms) {
-        const bool candidate = vm.pool == pool && vm.state == vm_state::serving;
-        if (candidate && (chosen == nullptr || tasks_on(vm) < tasks_on(*chosen))) {
+        const bool is_candidate = vm.pool == pool && vm.state == vm_state::serving;
+        if (is_candidate && (chosen == nullptr || count_tasks_on(vm) < count_tasks_on(*chosen))) {
             chosen = &vm;
         }
     }
@@ -236,40 +236,40 @@
         if (wave.pool != "*" && vm.pool != wave.pool) {
             continue;
         }
-        out += out_for_wave(vm, order) ? 1 : 0;
-        const bool idle = vm.state == vm_state::free && vm.since != m_next_revision;
-        if (vm.wave < order && (vm.state == vm_state::serving || idle)) {
+        out += is_out_for_wave(vm, order) ? 1 : 0;
+        const bool is_free = vm.state == vm_state::free && vm.state_revision != m_next_revision;
+        if (vm.completed_wave < order && (vm.state == vm_state::serving || is_free)) {
             candidates.push_back(&vm);
         }
     }
     if (wave.paused) {
         if (!candidates.empty()) {
-            wait("wave " + name, "paused by its operator");
+            record_wait("wave " + name, "paused by its operator");
         }
         return;
     }
     // Empty VMs first: their turn costs no move. Then rack by rack, so that few racks are touched at once.
-    if (!m_owner.m_options.first_fit) {
-        std::stable_sort(candidates.begin(), candidates.end(),
-                         [this](const vm_record* a, const vm_record* b) {
-                             return std::tuple(tasks_on(*a), a->rack) < std::tuple(tasks_on(*b), b->rack);
-                         });
+    if (!m_parent.m_options.first_fit) {
+        std::stable_sort(
+            candidates.begin(), candidates.end(), [this](const vm_record* a, const vm_record* b) {
+                return std::tuple(count_tasks_on(*a), a->rack) < std::tuple(count_tasks_on(*b), b->rack);
+            });
     }
     for (vm_record* vm : candidates) {
         if (out >= wave.width) {
             return;
         }
         if (vm->state == vm_state::serving &&
-            !may_take_out(m_plan.pools[vm->pool], 1, m_owner.m_options.reserve)) {
-            wait_for_budget(name, *vm);
+            !can_take_out_of_service(m_plan.pools[vm->pool], 1, m_parent.m_options.reserve)) {
+            record_budget_wait(name, *vm);
             continue;
         }
-        take_for_wave(*vm, wave);
+        start_wave_maintenance(*vm, wave);
         ++out;
     }
 }
 
-void planner::pass::wait_for_budget(const std::string& wave, const vm_record& vm) {
+void planner::pass::record_budget_wait(const std::string& wave, const vm_record& vm) {
     const pool_availability& pool = m_plan.pools[vm.pool];
     const std::string reason = "budget of pool " + vm.pool + ": " + std::to_string(pool.available) +
                                " available, " + std::to_string(pool.promised) + " promised";
@@ -279,15 +279,15 @@
     }
 }
 
-void planner::pass::take_for_wave(vm_record& vm, const wave_settings& wave) {
-    vm.goal_wave = static_cast<std::uint64_t>(wave.order);
+void planner::pass::start_wave_maintenance(vm_record& vm, const wave_settings& wave) {
+    vm.active_wave = static_cast<std::uint64_t>(wave.order);
     vm.reason = stop_reason::wave;
     if (vm.state == vm_state::free) {
         begin_maintenance(vm, "", "wave " + std::to_string(wave.order));
         return;
     }
     --m_plan.pools[vm.pool].available;
-    enter(vm, vm_state::cordoned, "wave " + std::to_string(wave.order));
+    set_state(vm, vm_state::cordoned, "wave " + std::to_string(wave.order));
 }
 
 } // namespace siskinpaddle
--- a/policy/retry_budget.hpp
+++ b/policy/retry_budget.hpp
@@ -14,10 +14,10 @@
 
     void on_request() noexcept { m_tokens = std::min(m_burst, m_tokens + m_fraction); }
 
-    [[nodiscard]] bool available() const noexcept { return m_tokens >= 1; }
+    [[nodiscard]] bool can_retry() const noexcept { return m_tokens >= 1; }
 
     /// Precondition: available().
-    void spend() noexcept { m_tokens -= 1; }
+    void consume() noexcept { m_tokens -= 1; }
 
   private:
     double m_fraction;
--- a/policy/target_table.cpp
+++ b/policy/target_table.cpp
@@ -6,31 +6,32 @@
 
 namespace {
 
-constexpr int failures_to_set_aside = 3;
-constexpr milliseconds first_set_aside = 1s;
-constexpr milliseconds longest_set_aside = 30s;
+constexpr int failures_to_quarantine = 3;
+constexpr milliseconds initial_quarantine = 1s;
+constexpr milliseconds max_quarantine = 30s;
 constexpr milliseconds ramp_time = 5s;
 /// Successes at the limit after which this entry allows itself one request more.
-constexpr int successes_to_grow = 4;
+constexpr int successes_to_raise_limit = 4;
 
 } // namespace
 
 void target_table::apply(const configuration& config, const fleet_record& fleet, timestamp now) {
-    m_by_pool.clear();
+    m_vms_by_pool.clear();
     std::set<std::string> known;
-    const int entries_here = std::max<int>(
-        1, static_cast<int>(std::count_if(fleet.entries.begin(), fleet.entries.end(),
-                                          [this](const auto& e) { return e.availability_zone == m_zone; })));
+    const int entries_in_zone = std::max<int>(
+        1, static_cast<int>(std::count_if(fleet.entries.begin(), fleet.entries.end(), [this](const auto& e) {
+            return e.availability_zone == m_own_zone;
+        })));
     for (const vm_record& vm : fleet.vms) {
         known.insert(vm.id);
         target& item = m_targets[vm.id];
-        const bool serves = vm.state == vm_state::serving;
-        if (item.vm.empty() || item.epoch != vm.epoch || (serves && !item.serving)) {
+        const bool is_serving = vm.state == vm_state::serving;
+        if (item.vm.empty() || item.epoch != vm.epoch || (is_serving && !item.serving)) {
             // A VM that returns starts with a clean record, and slowly: its caches are cold.
-            item.failures = 0;
-            item.set_asides = 0;
-            item.aside_until = timestamp{0};
-            item.ramp_from = item.vm.empty() ? now - ramp_time : now;
+            item.consecutive_failures = 0;
+            item.quarantine_count = 0;
+            item.quarantined_until = timestamp{0};
+            item.ramp_start = item.vm.empty() ? now - ramp_time : now;
             item.limit = 0;
         }
         item.vm = vm.id;
@@ -39,7 +40,7 @@
         item.availability_zone = vm.availability_zone;
         item.address = vm.address;
         item.port = vm.port;
-        item.serving = serves;
+        item.serving = is_serving;
         const auto pool = config.pools.find(vm.pool);
         if (pool == config.pools.end()) {
             item.serving = false;
@@ -47,10 +48,10 @@
         }
         item.slots = static_cast<int>(std::min(pool->second.slots, pool->second.connections));
         if (item.limit == 0) {
-            item.limit = std::max(1, item.slots / entries_here);
+            item.limit = std::max(1, item.slots / entries_in_zone);
         }
         if (item.serving) {
-            m_by_pool[vm.pool].push_back(vm.id);
+            m_vms_by_pool[vm.pool].push_back(vm.id);
         }
     }
     std::erase_if(m_targets, [&known](const auto& pair) {
@@ -61,81 +62,84 @@
     }
 }
 
-target_table::pool_view target_table::view(const std::vector<std::string>& ids, timestamp now) const {
-    std::int64_t aside = 0;
+target_table::pool_view target_table::compute_pool_view(const std::vector<std::string>& ids,
+                                                        timestamp now) const {
+    std::int64_t quarantined = 0;
     std::int64_t ramping = 0;
     for (const std::string& id : ids) {
         const target& item = m_targets.at(id);
-        aside += item.aside_until > now ? 1 : 0;
-        ramping += now - item.ramp_from < ramp_time ? 1 : 0;
+        quarantined += item.quarantined_until > now ? 1 : 0;
+        ramping += now - item.ramp_start < ramp_time ? 1 : 0;
     }
-    const auto all = static_cast<std::int64_t>(ids.size());
-    return {2 * aside > all, 2 * ramping > all};
+    const auto total = static_cast<std::int64_t>(ids.size());
+    return {2 * quarantined > total, 2 * ramping > total};
 }
 
-int target_table::allowed_now(const target& item, timestamp now, const pool_view& pool) const {
+int target_table::current_limit(const target& item, timestamp now, const pool_view& pool) const {
     if (m_policy == routing_policy::round_robin) {
         return item.slots;
     }
-    if (item.set_asides > 0 && item.failures > 0) {
+    if (item.quarantine_count > 0 && item.consecutive_failures > 0) {
         return 1; // A target on trial gets one request at a time until one succeeds.
     }
-    const milliseconds age = now - item.ramp_from;
+    const milliseconds age = now - item.ramp_start;
     if (age >= ramp_time || pool.ignore_ramp) {
         return item.limit;
     }
     return std::max<int>(1, static_cast<int>(item.limit * age.count() / ramp_time.count()));
 }
 
-bool target_table::usable(const target& item, timestamp now, const pool_view& pool) const {
-    return item.serving && item.in_flight < allowed_now(item, now, pool) &&
-           (pool.ignore_aside || item.aside_until <= now);
+bool target_table::is_usable(const target& item, timestamp now, const pool_view& pool) const {
+    return item.serving && item.in_flight < current_limit(item, now, pool) &&
+           (pool.ignore_quarantine || item.quarantined_until <= now);
 }
 
-std::vector<const target_table::target*>
-target_table::candidates(const std::string& pool, const std::set<std::string>& tried, timestamp now) const {
-    std::vector<const target*> good;
-    const auto ids = m_by_pool.find(pool);
-    if (ids == m_by_pool.end()) {
-        return good;
+std::vector<const target_table::target*> target_table::find_candidates(const std::string& pool,
+                                                                       const std::set<std::string>& tried,
+                                                                       timestamp now) const {
+    std::vector<const target*> usable;
+    const auto ids = m_vms_by_pool.find(pool);
+    if (ids == m_vms_by_pool.end()) {
+        return usable;
     }
-    const pool_view pool_now = view(ids->second, now);
+    const pool_view pool_now = compute_pool_view(ids->second, now);
     for (const std::string& id : ids->second) {
         const target& item = m_targets.at(id);
-        if (usable(item, now, pool_now) && !tried.contains(id)) {
-            good.push_back(&item);
+        if (is_usable(item, now, pool_now) && !tried.contains(id)) {
+            usable.push_back(&item);
         }
     }
-    const auto local = std::stable_partition(
-        good.begin(), good.end(), [this](const target* item) { return item->availability_zone == m_zone; });
-    if (local != good.begin()) {
-        good.erase(local, good.end());
+    const auto local = std::stable_partition(usable.begin(), usable.end(), [this](const target* item) {
+        return item->availability_zone == m_own_zone;
+    });
+    if (local != usable.begin()) {
+        usable.erase(local, usable.end());
     }
-    return good;
+    return usable;
 }
 
 std::optional<target_choice> target_table::choose(const std::string& pool, const std::set<std::string>& tried,
                                                   timestamp now, random_source& random) {
     const target* chosen = nullptr;
     if (m_policy == routing_policy::round_robin) {
-        const auto ids = m_by_pool.find(pool);
-        if (ids == m_by_pool.end()) {
+        const auto ids = m_vms_by_pool.find(pool);
+        if (ids == m_vms_by_pool.end()) {
             return std::nullopt;
         }
-        chosen = &m_targets.at(ids->second[m_turn[pool]++ % ids->second.size()]);
+        chosen = &m_targets.at(ids->second[m_next_index[pool]++ % ids->second.size()]);
     } else {
-        const std::vector<const target*> good = candidates(pool, tried, now);
-        if (good.empty()) {
+        const std::vector<const target*> usable = find_candidates(pool, tried, now);
+        if (usable.empty()) {
             return std::nullopt;
         }
-        const target* first = good[random.next_below(good.size())];
-        const target* second = good[random.next_below(good.size())];
+        const target* first = usable[random.next_below(usable.size())];
+        const target* second = usable[random.next_below(usable.size())];
         chosen = first->in_flight <= second->in_flight ? first : second;
     }
     return target_choice{chosen->vm, chosen->epoch, chosen->address, chosen->port};
 }
 
-bool target_table::still_valid(const target_choice& choice, const std::string& pool) const {
+bool target_table::is_still_valid(const target_choice& choice, const std::string& pool) const {
     const auto found = m_targets.find(choice.vm);
     return found != m_targets.end() && found->second.serving && found->second.epoch == choice.epoch &&
            found->second.pool == pool;
@@ -156,10 +160,10 @@
     switch (result) {
     case attempt_result::answered:
     case attempt_result::answer_too_large:
-        item.failures = 0;
-        item.set_asides = 0;
+        item.consecutive_failures = 0;
+        item.quarantine_count = 0;
         item.successes_at_limit += was_at_limit ? 1 : 0;
-        if (item.successes_at_limit >= successes_to_grow && item.limit < item.slots) {
+        if (item.successes_at_limit >= successes_to_raise_limit && item.limit < item.slots) {
             ++item.limit;
             item.successes_at_limit = 0;
         }
@@ -175,31 +179,31 @@
     case attempt_result::connect_failed:
     case attempt_result::reset_after_send:
     case attempt_result::incomplete_answer:
-        set_aside(item, now);
+        record_failure(item, now);
         return;
     }
 }
 
-void target_table::set_aside(target& item, timestamp now) {
-    if (++item.failures < failures_to_set_aside) {
+void target_table::record_failure(target& item, timestamp now) {
+    if (++item.consecutive_failures < failures_to_quarantine) {
         return;
     }
-    const int doublings = std::min(item.set_asides, 5);
-    item.aside_until = now + std::min(longest_set_aside, first_set_aside * (1 << doublings));
-    ++item.set_asides;
+    const int doublings = std::min(item.quarantine_count, 5);
+    item.quarantined_until = now + std::min(max_quarantine, initial_quarantine * (1 << doublings));
+    ++item.quarantine_count;
 }
 
-void target_table::on_health(const std::string& vm, bool good, timestamp now) {
+void target_table::on_health_check(const std::string& vm, bool passed, timestamp now) {
     const auto found = m_targets.find(vm);
     if (found == m_targets.end()) {
         return;
     }
-    if (!good) {
-        set_aside(found->second, now);
+    if (!passed) {
+        record_failure(found->second, now);
         return;
     }
-    found->second.failures = 0;
-    found->second.aside_until = timestamp{0};
+    found->second.consecutive_failures = 0;
+    found->second.quarantined_until = timestamp{0};
 }
 
 std::set<std::string> target_table::busy_vms() const {
@@ -215,7 +219,7 @@
 std::set<std::string> target_table::suspect_vms() const {
     std::set<std::string> suspects;
     for (const auto& [id, item] : m_targets) {
-        if (item.serving && item.failures >= failures_to_set_aside) {
+        if (item.serving && item.consecutive_failures >= failures_to_quarantine) {
             suspects.insert(id);
         }
     }
@@ -223,17 +227,17 @@
 }
 
 bool target_table::has_target(const std::string& pool) const {
-    return m_by_pool.contains(pool);
+    return m_vms_by_pool.contains(pool);
 }
 
 std::int64_t target_table::capacity(const std::string& pool, timestamp now) const {
     std::int64_t total = 0;
-    if (const auto ids = m_by_pool.find(pool); ids != m_by_pool.end()) {
-        const pool_view pool_now = view(ids->second, now);
+    if (const auto ids = m_vms_by_pool.find(pool); ids != m_vms_by_pool.end()) {
+        const pool_view pool_now = compute_pool_view(ids->second, now);
         for (const std::string& id : ids->second) {
             const target& item = m_targets.at(id);
-            const bool aside = item.aside_until > now && !pool_now.ignore_aside;
-            total += aside ? 0 : allowed_now(item, now, pool_now);
+            const bool is_quarantined = item.quarantined_until > now && !pool_now.ignore_quarantine;
+            total += is_quarantined ? 0 : current_limit(item, now, pool_now);
         }
     }
     return total;
--- a/policy/target_table.hpp
+++ b/policy/target_table.hpp
@@ -34,7 +34,7 @@
 class target_table {
   public:
     target_table(std::string own_zone, routing_policy policy)
-        : m_zone(std::move(own_zone)), m_policy(policy) {}
+        : m_own_zone(std::move(own_zone)), m_policy(policy) {}
 
     /// Takes over a newer configuration or fleet record.
     void apply(const configuration& config, const fleet_record& fleet, timestamp now);
@@ -44,12 +44,12 @@
     choose(const std::string& pool, const std::set<std::string>& tried, timestamp now, random_source& random);
 
     /// Whether `choice` may still be sent to; asked again right before sending, when time has passed.
-    [[nodiscard]] bool still_valid(const target_choice& choice, const std::string& pool) const;
+    [[nodiscard]] bool is_still_valid(const target_choice& choice, const std::string& pool) const;
 
     void on_sent(const std::string& vm);
     /// Reports how the attempt ended. Precondition: on_sent(vm) came before, once for each call.
     void on_finished(const std::string& vm, attempt_result result, timestamp now);
-    void on_health(const std::string& vm, bool good, timestamp now);
+    void on_health_check(const std::string& vm, bool passed, timestamp now);
 
     /// VMs out of service at the applied revision on which requests of this entry are still in progress.
     [[nodiscard]] std::set<std::string> busy_vms() const;
@@ -73,32 +73,32 @@
         int slots = 0;
         int limit = 0; ///< Requests that this entry allows itself there; adapts to refusals.
         int in_flight = 0;
-        int failures = 0; ///< In a row.
-        int set_asides = 0;
+        int consecutive_failures = 0; ///< In a row.
+        int quarantine_count = 0;
         int successes_at_limit = 0;
-        timestamp aside_until{0};
-        timestamp ramp_from{0};
+        timestamp quarantined_until{0};
+        timestamp ramp_start{0};
     };
 
     /// What the state of a pool as a whole says about single targets.
     struct pool_view {
-        bool ignore_aside = false; ///< So many are set aside that the rest would drown.
+        bool ignore_quarantine = false; ///< So many are set aside that the rest would drown.
         bool ignore_ramp =
             false; ///< So many have just returned that the rest can't carry the load meanwhile.
     };
 
-    [[nodiscard]] pool_view view(const std::vector<std::string>& ids, timestamp now) const;
-    [[nodiscard]] int allowed_now(const target& item, timestamp now, const pool_view& pool) const;
-    [[nodiscard]] bool usable(const target& item, timestamp now, const pool_view& pool) const;
+    [[nodiscard]] pool_view compute_pool_view(const std::vector<std::string>& ids, timestamp now) const;
+    [[nodiscard]] int current_limit(const target& item, timestamp now, const pool_view& pool) const;
+    [[nodiscard]] bool is_usable(const target& item, timestamp now, const pool_view& pool) const;
     [[nodiscard]] std::vector<const target*>
-    candidates(const std::string& pool, const std::set<std::string>& tried, timestamp now) const;
-    void set_aside(target& item, timestamp now);
+    find_candidates(const std::string& pool, const std::set<std::string>& tried, timestamp now) const;
+    void record_failure(target& item, timestamp now);
 
-    std::string m_zone;
+    std::string m_own_zone;
     routing_policy m_policy;
     std::map<std::string, target> m_targets;
-    std::map<std::string, std::vector<std::string>> m_by_pool;
-    std::map<std::string, std::size_t> m_turn; ///< Of the round-robin baseline.
+    std::map<std::string, std::vector<std::string>> m_vms_by_pool;
+    std::map<std::string, std::size_t> m_next_index; ///< Of the round-robin baseline.
 };
 
 } // namespace siskinpaddle
--- a/policy/task_reports.cpp
+++ b/policy/task_reports.cpp
@@ -10,7 +10,7 @@
     job.vm.clear();
 }
 
-void enter_stopped(job_record& job) {
+void apply_stopped(job_record& job) {
     if (job.state == job_state::cancelling) {
         job.state = job_state::cancelled;
         return;
@@ -20,8 +20,8 @@
     requeue(job);
 }
 
-void enter(job_record& job, const task_news& news) {
-    switch (news.result) {
+void apply_update(job_record& job, const task_update& update) {
+    switch (update.result) {
     case task_result::running:
         if (job.state == job_state::assigned) {
             job.state = job_state::running;
@@ -29,12 +29,12 @@
         return;
     case task_result::done:
         job.state = job_state::done;
-        job.used = news.used;
+        job.used = update.used;
         job.reason.clear();
         return;
     case task_result::failed:
         ++job.failures;
-        job.failed_on = news.vm;
+        job.failed_on = update.vm;
         if (job.state == job_state::cancelling) {
             job.state = job_state::cancelled;
         } else {
@@ -42,22 +42,22 @@
         }
         return;
     case task_result::stopped:
-        enter_stopped(job);
+        apply_stopped(job);
         return;
     }
 }
 
 } // namespace
 
-bool enter_task_news(job_table& table, const std::vector<task_news>& news) {
+bool apply_task_updates(job_table& table, const std::vector<task_update>& updates) {
     bool changed = false;
-    for (const task_news& item : news) {
+    for (const task_update& item : updates) {
         job_record* job = table.find(item.job);
-        if (job == nullptr || job->epoch != item.epoch || !may_run(job->state)) {
+        if (job == nullptr || job->epoch != item.epoch || !may_be_running(job->state)) {
             continue;
         }
         const job_record before = *job;
-        enter(*job, item);
+        apply_update(*job, item);
         changed = changed || before != *job;
     }
     if (changed) {
--- a/policy/task_reports.hpp
+++ b/policy/task_reports.hpp
@@ -10,7 +10,7 @@
 enum class task_result : std::uint8_t { running, done, failed, stopped };
 
 /// One worker's word on one assignment of a job.
-struct task_news {
+struct task_update {
     std::string job;
     std::uint32_t epoch = 0;
     task_result result = task_result::running;
@@ -21,6 +21,6 @@
 /// Enters the workers' words into a table. Words on an older epoch are ignored: that assignment has been
 /// given up and its end counted already. Returns whether anything changed, so entering the same words twice
 /// changes nothing. Pure.
-bool enter_task_news(job_table& table, const std::vector<task_news>& news);
+bool apply_task_updates(job_table& table, const std::vector<task_update>& updates);
 
 } // namespace siskinpaddle
--- a/policy/worker_watch.hpp
+++ b/policy/worker_health_tracker.hpp
@@ -11,10 +11,10 @@
 /// Learns from job tables which workers fail every task they start, and sets them aside for a time that
 /// doubles. Failures of one job again and again speak against the job, so only different jobs count. Pure;
 /// not thread-safe.
-class worker_watch {
+class worker_health_tracker {
   public:
     /// Looks at a newer table of a pool. Returns the VMs that are now set aside for this reason.
-    std::vector<std::string> look(const std::string& pool, const job_table& table, timestamp now);
+    std::vector<std::string> update(const std::string& pool, const job_table& table, timestamp now);
 
     [[nodiscard]] const std::map<std::string, worker_health>& workers() const noexcept { return m_workers; }
 
@@ -24,10 +24,10 @@
         job_state state = job_state::queued;
     };
 
-    std::map<std::string, std::map<std::string, seen_job>> m_seen;
+    std::map<std::string, std::map<std::string, seen_job>> m_seen_jobs;
     std::map<std::string, worker_health> m_workers;
     std::map<std::string, std::string> m_last_failed_job;
-    std::map<std::string, int> m_times_aside;
+    std::map<std::string, int> m_quarantine_counts;
 };
 
 } // namespace siskinpaddle
--- a/tests/doors/door_test.cpp
+++ b/tests/doors/door_test.cpp
@@ -137,7 +137,7 @@
     const std::string body = encode_archive(beat);
     const std::string fleet = encode_fleet(b.fleet);
     replica values;
-    REQUIRE(values.offer_stored("fleet", fleet, 1) == offer_result::taken);
+    REQUIRE(values.apply_stored("fleet", fleet, 1) == apply_result::applied);
     const auto read_heartbeat = [](std::string_view bytes) {
         return boost::leaf::try_handle_all(
             [&]() -> boost::leaf::result<bool> {
@@ -154,9 +154,9 @@
         // A peer with the key but a broken encoder: nothing may crash, whatever is decoded.
         (void)read_heartbeat(mutated(body, random));
         const std::string changed = mutated(fleet, random);
-        (void)values.offer_stored("fleet", changed, 2);
-        (void)values.offer_transfer({"fleet", 9, 3, true, changed});
-        (void)values.offer_stored("jobs/p", changed, 2);
+        (void)values.apply_stored("fleet", changed, 2);
+        (void)values.apply_transfer({"fleet", 9, 3, true, changed});
+        (void)values.apply_stored("jobs/p", changed, 2);
         milliseconds lease{0};
         findings problems;
         (void)decode_task_calls(
--- a/tests/fakes/fake_platform.cpp
+++ b/tests/fakes/fake_platform.cpp
@@ -67,7 +67,7 @@
         item.shown.agent_port = target.port;
         item.shown.cores = 32;
         item.shown.memory_mb = 64'000;
-        item.shown.boot = 1;
+        item.shown.boot_count = 1;
         item.alive_until = timestamp::max() / 2;
         item.is_static = true;
         m_vms[item.shown.id] = item;
@@ -254,7 +254,7 @@
                         {"cores", item.shown.cores},
                         {"memory_mb", item.shown.memory_mb},
                         {"accelerators", item.shown.accelerators},
-                        {"boot", item.shown.boot},
+                        {"boot", item.shown.boot_count},
                         {"state", name_of(item.shown.state)}});
     }
     const std::string text = boost::json::serialize(list);
@@ -281,7 +281,7 @@
     }
     if (found->second.is_static && operation != found->second.done_operation) {
         found->second.done_operation = operation;
-        ++found->second.shown.boot;
+        ++found->second.shown.boot_count;
     } else if (operation != found->second.done_operation) {
         found->second.order_operation = operation;
         found->second.order_pool = object.text("pool");
@@ -309,7 +309,7 @@
     item.shown.cores = static_cast<std::uint32_t>(object.number("cores", {0, 4096}));
     item.shown.memory_mb = static_cast<std::uint32_t>(object.number("memory_mb", {0, INT32_MAX}));
     item.shown.accelerators = static_cast<std::uint32_t>(object.number_or("accelerators", 0, {0, 4096}));
-    item.shown.boot = static_cast<std::uint64_t>(object.number("boot", {0, INT64_MAX}));
+    item.shown.boot_count = static_cast<std::uint64_t>(object.number("boot", {0, INT64_MAX}));
     const std::string done = object.text_or("done_operation", "");
     if (!done.empty() && done == item.order_operation) {
         item.done_operation = done;
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -5,11 +5,11 @@
 #include <fstream>
 #include <sstream>
 
-using siskinpaddle::tests::play_session;
+using siskinpaddle::tests::run_session;
 
 namespace {
 
-std::string read(const std::filesystem::path& path) {
+std::string read_file(const std::filesystem::path& path) {
     std::ifstream file(path, std::ios::binary);
     std::ostringstream text;
     text << file.rdbuf();
@@ -17,7 +17,7 @@
 }
 
 /// The script within a golden file: everything but the decisions.
-std::string script_of(const std::string& golden) {
+std::string extract_script(const std::string& golden) {
     std::istringstream lines(golden);
     std::string script;
     std::string line;
@@ -39,14 +39,14 @@
         }
         ++sessions;
         CAPTURE(item.path().filename().string());
-        const std::string golden = read(item.path());
-        const std::string played = play_session(script_of(golden));
+        const std::string golden = read_file(item.path());
+        const std::string output = run_session(extract_script(golden));
         if (std::getenv("SISKINPADDLE_WRITE_GOLDEN") != nullptr) {
-            std::ofstream(item.path(), std::ios::binary) << played;
+            std::ofstream(item.path(), std::ios::binary) << output;
             continue;
         }
-        CHECK(played == golden);
-        CHECK(played.find("  ! ") == std::string::npos);
+        CHECK(output == golden);
+        CHECK(output.find("  ! ") == std::string::npos);
     }
     CHECK(sessions >= 8);
 }
