--- a/tests/golden/session.cpp
+++ b/tests/golden/session.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-class player {
+class session_runner {
   public:
-    std::string play(const std::string& script) {
+    std::string run(const std::string& script) {
         std::istringstream lines(script);
         std::string line;
         while (std::getline(lines, line)) {
@@ -20,7 +20,7 @@
             std::istringstream words(line);
             std::string verb;
             words >> verb;
-            const auto& verbs = table();
+            const auto& verbs = event_handlers();
             const auto found = verbs.find(verb);
             if (found == verbs.end()) {
                 m_out << "  ! unknown event\n";
@@ -32,194 +32,203 @@
     }
 
   private:
-    using handler = void (player::*)(std::istringstream&);
-
-    static const std::map<std::string, handler>& table() {
-        static const std::map<std::string, handler> verbs{{"pool", &player::pool},
-                                                          {"entry", &player::entry},
-                                                          {"vm", &player::vm},
-                                                          {"wave", &player::wave},
-                                                          {"step", &player::step},
-                                                          {"settle", &player::settle},
-                                                          {"report", &player::report},
-                                                          {"unlist", &player::unlist},
-                                                          {"list", &player::list},
-                                                          {"reboot", &player::reboot},
-                                                          {"busy", &player::busy},
-                                                          {"idle", &player::idle},
-                                                          {"suspect", &player::suspect},
-                                                          {"gone", &player::gone},
-                                                          {"stale-list", &player::stale_list},
-                                                          {"new-planner", &player::fresh},
-                                                          {"pause", &player::pause},
-                                                          {"healthy", &player::healthy},
-                                                          {"job", &player::job},
-                                                          {"place", &player::place},
-                                                          {"task", &player::task},
-                                                          {"cancel", &player::cancel},
-                                                          {"request", &player::request},
-                                                          {"answer", &player::answer},
-                                                          {"patch", &player::patch},
-                                                          {"store", &player::store},
-                                                          {"route", &player::route},
-                                                          {"leaving", &player::leaving},
-                                                          {"late-planner", &player::late_planner}};
+    using handler = void (session_runner::*)(std::istringstream&);
+
+    static const std::map<std::string, handler>& event_handlers() {
+        static const std::map<std::string, handler> verbs{{"pool", &session_runner::pool},
+                                                          {"entry", &session_runner::entry},
+                                                          {"vm", &session_runner::vm},
+                                                          {"wave", &session_runner::wave},
+                                                          {"step", &session_runner::step},
+                                                          {"settle", &session_runner::settle},
+                                                          {"report", &session_runner::report},
+                                                          {"unlist", &session_runner::unlist},
+                                                          {"list", &session_runner::list},
+                                                          {"reboot", &session_runner::reboot},
+                                                          {"busy", &session_runner::busy},
+                                                          {"idle", &session_runner::idle},
+                                                          {"suspect", &session_runner::suspect},
+                                                          {"gone", &session_runner::gone},
+                                                          {"stale-list", &session_runner::stale_list},
+                                                          {"new-planner", &session_runner::new_planner},
+                                                          {"pause", &session_runner::pause},
+                                                          {"healthy", &session_runner::healthy},
+                                                          {"job", &session_runner::job},
+                                                          {"place", &session_runner::place},
+                                                          {"task", &session_runner::task},
+                                                          {"cancel", &session_runner::cancel},
+                                                          {"request", &session_runner::request},
+                                                          {"answer", &session_runner::answer},
+                                                          {"patch", &session_runner::patch},
+                                                          {"store", &session_runner::store},
+                                                          {"route", &session_runner::route},
+                                                          {"leaving", &session_runner::leaving},
+                                                          {"late-planner", &session_runner::late_planner}};
         return verbs;
     }
 
-    static std::string word(std::istringstream& words) {
+    static std::string next_word(std::istringstream& words) {
         std::string text;
         words >> text;
         return text;
     }
 
-    static std::int64_t number(std::istringstream& words) {
-        return std::strtoll(word(words).c_str(), nullptr, 10);
+    static std::int64_t next_number(std::istringstream& words) {
+        return std::strtoll(next_word(words).c_str(), nullptr, 10);
     }
 
-    void say(const std::string& text) { m_out << "  > " << text << "\n"; }
+    void write_output(const std::string& text) { m_out << "  > " << text << "\n"; }
 
     void pool(std::istringstream& words) {
-        const std::string name = word(words);
-        const std::int64_t promised = number(words);
-        m_b.pool(name, promised, number(words));
+        const std::string name = next_word(words);
+        const std::int64_t promised = next_number(words);
+        m_fleet_builder.pool(name, promised, next_number(words));
     }
 
     void entry(std::istringstream& words) {
-        const std::string id = word(words);
-        m_b.entry(id, word(words));
+        const std::string id = next_word(words);
+        m_fleet_builder.entry(id, next_word(words));
     }
 
     void vm(std::istringstream& words) {
-        const std::string id = word(words);
-        const std::string pool = word(words);
-        const std::string zone = word(words);
-        m_b.vm(id, pool == "-" ? "" : pool, zone, word(words));
+        const std::string id = next_word(words);
+        const std::string pool = next_word(words);
+        const std::string zone = next_word(words);
+        m_fleet_builder.vm(id, pool == "-" ? "" : pool, zone, next_word(words));
     }
 
     void wave(std::istringstream& words) {
-        const std::string name = word(words);
-        const std::string pool = word(words);
-        const std::int64_t order = number(words);
-        m_b.wave(name, pool, order, number(words));
+        const std::string name = next_word(words);
+        const std::string pool = next_word(words);
+        const std::int64_t order = next_number(words);
+        m_fleet_builder.wave(name, pool, order, next_number(words));
     }
 
-    void show(const fleet_plan& plan) {
+    void write_plan(const fleet_plan& plan) {
         for (const plan_decision& item : plan.decisions) {
-            say(item.vm + ": " + item.text);
+            write_output(item.vm + ": " + item.text);
         }
         for (const reboot_action& item : plan.reboots) {
-            say("reboot " + item.operation + " for " + (item.pool.empty() ? "-" : item.pool));
+            write_output("reboot " + item.operation + " for " + (item.pool.empty() ? "-" : item.pool));
         }
         for (const plan_wait& item : plan.waits) {
-            say("waits: " + item.subject + ": " + item.reason);
+            write_output("waits: " + item.subject + ": " + item.reason);
         }
         for (const auto& [name, item] : plan.pools) {
             if (item.breached()) {
-                say("BREACH " + name + ": " + std::to_string(item.available) + " of " +
-                    std::to_string(item.promised));
+                write_output("BREACH " + name + ": " + std::to_string(item.available) + " of " +
+                             std::to_string(item.promised));
             }
         }
     }
 
     void step(std::istringstream& words) {
-        const std::int64_t seconds = std::max<std::int64_t>(1, number(words));
-        m_before = m_b.fleet;
-        m_plan = m_b.step(m_planner, std::chrono::seconds(seconds));
-        show(m_plan);
+        const std::int64_t seconds = std::max<std::int64_t>(1, next_number(words));
+        m_previous_fleet = m_fleet_builder.fleet;
+        m_plan = m_fleet_builder.step(m_planner, std::chrono::seconds(seconds));
+        write_plan(m_plan);
     }
 
-    void settle(std::istringstream&) { m_b.settle(m_plan); }
-    void report(std::istringstream& words) { m_b.report(word(words)); }
-    void unlist(std::istringstream& words) { m_b.seen.listed.erase(word(words)); }
+    void settle(std::istringstream&) { m_fleet_builder.complete_actions(m_plan); }
+    void report(std::istringstream& words) { m_fleet_builder.report(next_word(words)); }
+    void unlist(std::istringstream& words) { m_fleet_builder.seen.listed_vms.erase(next_word(words)); }
 
     void list(std::istringstream& words) {
-        const std::string id = word(words);
-        if (const vm_record* record = m_b.fleet.find_vm(id)) {
-            m_b.list(id, *record);
+        const std::string id = next_word(words);
+        if (const vm_record* record = m_fleet_builder.fleet.find_vm(id)) {
+            m_fleet_builder.add_to_list(id, *record);
         }
     }
 
-    void leaving(std::istringstream& words) { m_b.seen.listed[word(words)].state = listing::leaving; }
-    void reboot(std::istringstream& words) { ++m_b.seen.listed[word(words)].boot; }
+    void leaving(std::istringstream& words) {
+        m_fleet_builder.seen.listed_vms[next_word(words)].state = listing_state::leaving;
+    }
+    void reboot(std::istringstream& words) { ++m_fleet_builder.seen.listed_vms[next_word(words)].boot_count; }
 
     void busy(std::istringstream& words) {
-        const std::string entry = word(words);
-        m_b.seen.entries[entry].busy_vms.insert(word(words));
+        const std::string entry = next_word(words);
+        m_fleet_builder.seen.entries[entry].busy_vms.insert(next_word(words));
     }
 
-    void idle(std::istringstream& words) { m_b.seen.entries[word(words)].busy_vms.clear(); }
+    void idle(std::istringstream& words) { m_fleet_builder.seen.entries[next_word(words)].busy_vms.clear(); }
 
     void suspect(std::istringstream& words) {
-        const std::string entry = word(words);
-        m_b.seen.entries[entry].suspect_vms.insert(word(words));
+        const std::string entry = next_word(words);
+        m_fleet_builder.seen.entries[entry].suspect_vms.insert(next_word(words));
     }
 
     void healthy(std::istringstream& words) {
-        const std::string entry = word(words);
-        m_b.seen.entries[entry].healthy_vms.insert(word(words));
+        const std::string entry = next_word(words);
+        m_fleet_builder.seen.entries[entry].healthy_vms.insert(next_word(words));
     }
 
-    void gone(std::istringstream& words) { m_b.seen.entries[word(words)].process_gone = true; }
+    void gone(std::istringstream& words) {
+        m_fleet_builder.seen.entries[next_word(words)].has_process_ended = true;
+    }
 
     /// A step with the list as it was read last.
     void stale_list(std::istringstream& words) {
-        m_b.now += std::chrono::seconds(number(words));
-        m_b.report_all();
-        m_plan = m_planner.step(m_b.config, m_b.fleet, m_b.seen, m_b.now);
+        m_fleet_builder.now += std::chrono::seconds(next_number(words));
+        m_fleet_builder.report_all();
+        m_plan = m_planner.step(m_fleet_builder.config, m_fleet_builder.fleet, m_fleet_builder.seen,
+                                m_fleet_builder.now);
         if (m_plan.changed) {
-            m_b.fleet = m_plan.next;
+            m_fleet_builder.fleet = m_plan.next;
         }
-        show(m_plan);
+        write_plan(m_plan);
     }
 
-    void fresh(std::istringstream&) { m_planner = planner(); }
+    void new_planner(std::istringstream&) { m_planner = planner(); }
 
     /// Another planner, whose lease lapsed while it was paused, wakes with the record from before the last
     /// step and plans on it. Its swap names the store's version of that record, which has gone.
     void late_planner(std::istringstream&) {
         planner late;
-        const fleet_plan plan = late.step(m_b.config, m_before, m_b.seen, m_b.now);
-        const bool would_swap = m_before.revision == m_b.fleet.revision;
-        say("late planner plans revision " + std::to_string(plan.next.revision) + ", the store has " +
-            std::to_string(m_b.fleet.revision) + ": its swap " + (would_swap ? "SUCCEEDS" : "fails"));
+        const fleet_plan plan =
+            late.step(m_fleet_builder.config, m_previous_fleet, m_fleet_builder.seen, m_fleet_builder.now);
+        const bool can_swap = m_previous_fleet.revision == m_fleet_builder.fleet.revision;
+        write_output("late planner plans revision " + std::to_string(plan.next.revision) +
+                     ", the store has " + std::to_string(m_fleet_builder.fleet.revision) + ": its swap " +
+                     (can_swap ? "SUCCEEDS" : "fails"));
     }
 
     void pause(std::istringstream& words) {
-        const timestamp at(number(words));
-        say(m_pauses.check(at) == pause_verdict::refresh ? "refuse until refreshed" : "route");
+        const timestamp at(next_number(words));
+        write_output(m_pause_detector.check(at) == pause_verdict::refresh_required ? "refuse until refreshed"
+                                                                                   : "route");
     }
 
     void job(std::istringstream& words) {
         job_record record;
-        record.id = word(words);
+        record.id = next_word(words);
         record.team = "t";
         record.kind = record.id;
-        record.urgency = value_named<job_urgency>(word(words)).value_or(job_urgency::daily);
-        record.size = {static_cast<std::uint32_t>(number(words)), 100, 0};
-        m_b.config.teams["t"] = {"m", 1'000'000, 0};
+        record.urgency = value_named<job_urgency>(next_word(words)).value_or(job_urgency::daily);
+        record.size = {static_cast<std::uint32_t>(next_number(words)), 100, 0};
+        m_fleet_builder.config.teams["t"] = {"m", 1'000'000, 0};
         m_jobs.jobs.push_back(record);
     }
 
     void place(std::istringstream& words) {
-        const std::string pool = word(words);
+        const std::string pool = next_word(words);
         const std::map<std::string, worker_health> workers;
         std::map<std::string, std::uint32_t> ended;
-        const std::string over = word(words);
-        if (const vm_record* record = m_b.fleet.find_vm(over)) {
+        const std::string over = next_word(words);
+        if (const vm_record* record = m_fleet_builder.fleet.find_vm(over)) {
             ended[over] = record->epoch;
         }
-        const placement_input input{m_b.config, m_b.fleet, pool,  m_jobs, m_usage,
-                                    workers,    {},        ended, m_b.now};
+        const placement_input input{
+            m_fleet_builder.config, m_fleet_builder.fleet, pool, m_jobs, m_usage, workers, {}, ended,
+            m_fleet_builder.now};
         const placement_plan plan = place_jobs(input);
         m_jobs = plan.next;
         for (const placement_decision& item : plan.decisions) {
-            say(item.job + " on " + (item.vm.empty() ? "-" : item.vm) + ": " + item.text);
+            write_output(item.job + " on " + (item.vm.empty() ? "-" : item.vm) + ": " + item.text);
         }
-        m_b.seen.tasks.clear();
+        m_fleet_builder.seen.tasks.clear();
         for (const job_record& item : m_jobs.jobs) {
-            if (may_run(item.state)) {
-                ++m_b.seen.tasks[item.vm];
+            if (may_be_running(item.state)) {
+                ++m_fleet_builder.seen.tasks[item.vm];
             }
         }
     }
@@ -229,43 +238,43 @@
                                                                 {"done", task_result::done},
                                                                 {"failed", task_result::failed},
                                                                 {"stopped", task_result::stopped}};
-        const std::string id = word(words);
-        const auto epoch = static_cast<std::uint32_t>(number(words));
-        const task_result result = results.at(word(words));
+        const std::string id = next_word(words);
+        const auto epoch = static_cast<std::uint32_t>(next_number(words));
+        const task_result result = results.at(next_word(words));
         const job_record* known = m_jobs.find(id);
         const std::string at = known->vm;
-        const bool changed = enter_task_news(m_jobs, {{id, epoch, result, at}});
-        say(id + (changed ? " is " + std::string(name_of(m_jobs.find(id)->state)) : " ignored"));
+        const bool changed = apply_task_updates(m_jobs, {{id, epoch, result, at}});
+        write_output(id + (changed ? " is " + std::string(name_of(m_jobs.find(id)->state)) : " ignored"));
     }
 
     void cancel(std::istringstream&) {
         for (job_record& item : m_jobs.jobs) {
             if (!has_ended(item.state)) {
-                item.state = may_run(item.state) ? job_state::cancelling : job_state::cancelled;
-                say(item.id + " " + std::string(name_of(item.state)));
+                item.state = may_be_running(item.state) ? job_state::cancelling : job_state::cancelled;
+                write_output(item.id + " " + std::string(name_of(item.state)));
             }
         }
     }
 
     /// request POOL DEADLINE_MS: through admission and routing at the present time.
     void request(std::istringstream& words) {
-        const std::string pool = word(words);
-        const timestamp deadline = m_b.now + milliseconds(number(words));
+        const std::string pool = next_word(words);
+        const timestamp deadline = m_fleet_builder.now + milliseconds(next_number(words));
         const std::uint64_t id = ++m_next_request;
         const std::string name = "r" + std::to_string(id);
-        const pool_load load{m_targets.capacity(pool, m_b.now), m_targets.in_flight(pool), 4,
+        const pool_load load{m_targets.capacity(pool, m_fleet_builder.now), m_targets.in_flight(pool), 4,
                              m_targets.has_target(pool)};
-        const auto verdict = m_door.offer({id, pool, "m", deadline}, load, m_b.now);
-        if (verdict.step == admission_step::refuse) {
-            say(name + " refused: " + std::string(rule_for(verdict.code).name));
+        const auto verdict = m_admission.admit({id, pool, "m", deadline}, load, m_fleet_builder.now);
+        if (verdict.action == admission_action::refuse) {
+            write_output(name + " refused: " + std::string(find_answer_rule(verdict.code).name));
             return;
         }
-        if (verdict.step == admission_step::wait) {
-            say(name + " waits");
+        if (verdict.action == admission_action::wait) {
+            write_output(name + " waits");
             return;
         }
-        const auto choice = m_targets.choose(pool, {}, m_b.now, m_random);
-        say(name + " to " + (choice ? choice->vm : "-"));
+        const auto choice = m_targets.choose(pool, {}, m_fleet_builder.now, m_random);
+        write_output(name + " to " + (choice ? choice->vm : "-"));
         if (choice) {
             m_targets.on_sent(choice->vm);
         }
@@ -273,36 +282,36 @@
 
     /// answer VM RESULT: an attempt at the VM ends so.
     void answer(std::istringstream& words) {
-        const std::string at = word(words);
-        const auto result = value_named<attempt_result>(word(words)).value_or(attempt_result::answered);
-        m_targets.on_finished(at, result, m_b.now);
-        m_door.finished("p", "m", 20ms);
-        const bool repeatable = word(words) == "repeatable";
-        const attempt_verdict verdict = decide_after({result, repeatable, false, 1, 1s, true});
+        const std::string at = next_word(words);
+        const auto result = value_named<attempt_result>(next_word(words)).value_or(attempt_result::answered);
+        m_targets.on_finished(at, result, m_fleet_builder.now);
+        m_admission.record_finished("p", "m", 20ms);
+        const bool repeatable = next_word(words) == "repeatable";
+        const attempt_verdict verdict = decide_next_step({result, repeatable, false, 1, 1s, true});
         static constexpr std::array<std::string_view, 3> steps{"deliver", "retry", "give up"};
         std::string text(steps[static_cast<std::size_t>(verdict.step)]);
         if (verdict.step == next_step::give_up) {
-            const answer_rule& rule = rule_for(verdict.code);
+            const answer_rule& rule = find_answer_rule(verdict.code);
             text += ": " + std::string(rule.name) + ", " + std::string(name_of(rule.result));
         }
-        say(text);
+        write_output(text);
     }
 
     void route(std::istringstream& words) {
-        m_b.now += std::chrono::seconds(number(words));
-        m_targets.apply(m_b.config, m_b.fleet, m_b.now);
+        m_fleet_builder.now += std::chrono::seconds(next_number(words));
+        m_targets.apply(m_fleet_builder.config, m_fleet_builder.fleet, m_fleet_builder.now);
         std::string text = "suspects:";
         for (const std::string& id : m_targets.suspect_vms()) {
             text += " " + id;
         }
-        say(text);
+        write_output(text);
     }
 
     /// store NUMBER: the stored configuration is at this number; patch MEMBER AGAINST ID JSON.
     void store(std::istringstream& words) {
         const std::string digits(64, '0');
         m_stored = {
-            static_cast<std::uint64_t>(number(words)),
+            static_cast<std::uint64_t>(next_number(words)),
             boost::json::parse(
                 R"({"members":{"kuld":{"credential_sha256":")" + digits +
                 R"("},"hobe":{"credential_sha256":")" + digits +
@@ -312,9 +321,9 @@
 
     void patch(std::istringstream& words) {
         patch_request request;
-        request.member = word(words);
-        request.against = static_cast<std::uint64_t>(number(words));
-        request.write_id = word(words);
+        request.member = next_word(words);
+        request.base_number = static_cast<std::uint64_t>(next_number(words));
+        request.write_id = next_word(words);
         std::string rest;
         std::getline(words, rest);
         request.merge_patch = boost::json::parse(rest);
@@ -323,24 +332,24 @@
         for (const std::string& path : result.changed_paths) {
             text += " " + path;
         }
-        say(text);
+        write_output(text);
         for (const finding& item : result.problems.items()) {
-            say(item.location + ": " + item.message);
+            write_output(item.location + ": " + item.message);
         }
         if (result.verdict == patch_verdict::accepted) {
             m_stored = result.next;
         }
     }
 
-    fleet_builder m_b;
+    fleet_builder m_fleet_builder;
     planner m_planner;
     fleet_plan m_plan;
-    fleet_record m_before;
+    fleet_record m_previous_fleet;
     job_table m_jobs;
     usage_estimates m_usage;
-    pause_detector m_pauses;
+    pause_detector m_pause_detector;
     target_table m_targets{"a", routing_policy::two_choices};
-    admission m_door{16, true};
+    admission_controller m_admission{16, true};
     random_source m_random{3};
     std::uint64_t m_next_request = 0;
     stored_configuration m_stored;
@@ -349,8 +358,8 @@
 
 } // namespace
 
-std::string play_session(const std::string& script) {
-    return player().play(script);
+std::string run_session(const std::string& script) {
+    return session_runner().run(script);
 }
 
 } // namespace siskinpaddle::tests
--- a/tests/main/recovery_test.cpp
+++ b/tests/main/recovery_test.cpp
@@ -46,7 +46,7 @@
     REQUIRE(d.until([&] {
         int done = 0;
         for (const vm_record& vm : d.fleet().vms) {
-            done += vm.pool == "k" && vm.wave == 1 && vm.state == vm_state::serving ? 1 : 0;
+            done += vm.pool == "k" && vm.completed_wave == 1 && vm.state == vm_state::serving ? 1 : 0;
         }
         return done == 2;
     }));
@@ -84,7 +84,7 @@
     REQUIRE(d.until([&] {
         int done = 0;
         for (const vm_record& vm : d.fleet().vms) {
-            done += vm.wave == 1 && vm.state == vm_state::serving ? 1 : 0;
+            done += vm.completed_wave == 1 && vm.state == vm_state::serving ? 1 : 0;
         }
         return done == 2;
     }));
@@ -119,7 +119,7 @@
     REQUIRE(d.until([&] {
         int done = 0;
         for (const vm_record& vm : d.fleet().vms) {
-            done += vm.wave == 1 && vm.state == vm_state::serving ? 1 : 0;
+            done += vm.completed_wave == 1 && vm.state == vm_state::serving ? 1 : 0;
         }
         return done == 2;
     }));
@@ -177,8 +177,9 @@
     }
     d.platform.set_trouble(planner, fakes::trouble::none);
     REQUIRE(d.until([&] {
-        return d.serving("k") == 2 && d.fleet().find_vm("w1")->wave + d.fleet().find_vm("w2")->wave +
-                                              d.fleet().find_vm("w3")->wave ==
+        return d.serving("k") == 2 && d.fleet().find_vm("w1")->completed_wave +
+                                              d.fleet().find_vm("w2")->completed_wave +
+                                              d.fleet().find_vm("w3")->completed_wave ==
                                           2;
     }));
 }
--- a/tests/peer/replica_test.cpp
+++ b/tests/peer/replica_test.cpp
@@ -27,17 +27,17 @@
     // The store comes back from an old copy after an outage, and a peer that slept offers what it still has.
     // An entry that took either would undo a configuration that an operator was told is in force.
     replica r;
-    CHECK(r.offer_stored("config", config_bytes(5), 50) == offer_result::taken);
-    CHECK(r.offer_stored("config", config_bytes(5), 51) == offer_result::same);
-    CHECK(r.offer_stored("config", config_bytes(4), 99) == offer_result::older);
-    CHECK(r.offer_transfer({"config", 3, 30, false, config_bytes(3)}) == offer_result::older);
-    CHECK(r.offer_stored("config", "{", 60) == offer_result::damaged);
+    CHECK(r.apply_stored("config", config_bytes(5), 50) == apply_result::applied);
+    CHECK(r.apply_stored("config", config_bytes(5), 51) == apply_result::same);
+    CHECK(r.apply_stored("config", config_bytes(4), 99) == apply_result::older);
+    CHECK(r.apply_transfer({"config", 3, 30, false, config_bytes(3)}) == apply_result::older);
+    CHECK(r.apply_stored("config", "{", 60) == apply_result::damaged);
     CHECK(r.config().number == 5);
     CHECK(r.store_version("config") == 51);
-    CHECK(r.offer_stored("fleet", encode_fleet(fleet_at(3)), 1) == offer_result::taken);
-    CHECK(r.offer_stored("fleet", encode_fleet(fleet_at(2)), 2) == offer_result::older);
-    CHECK(r.offer_stored("fleet", "junk", 2) == offer_result::damaged);
-    CHECK(r.offer_stored("other", "junk", 2) == offer_result::damaged);
+    CHECK(r.apply_stored("fleet", encode_fleet(fleet_at(3)), 1) == apply_result::applied);
+    CHECK(r.apply_stored("fleet", encode_fleet(fleet_at(2)), 2) == apply_result::older);
+    CHECK(r.apply_stored("fleet", "junk", 2) == apply_result::damaged);
+    CHECK(r.apply_stored("other", "junk", 2) == apply_result::damaged);
     CHECK(r.fleet().revision == 3);
 }
 
@@ -45,28 +45,28 @@
     replica source;
     replica reader;
     for (std::uint64_t revision = 1; revision <= 10; ++revision) {
-        REQUIRE(source.offer_stored("fleet", encode_fleet(fleet_at(revision)), revision) ==
-                offer_result::taken);
+        REQUIRE(source.apply_stored("fleet", encode_fleet(fleet_at(revision)), revision) ==
+                apply_result::applied);
         if (revision == 4) {
-            REQUIRE(reader.offer_stored("fleet", encode_fleet(fleet_at(4)), 4) == offer_result::taken);
+            REQUIRE(reader.apply_stored("fleet", encode_fleet(fleet_at(4)), 4) == apply_result::applied);
         }
     }
-    REQUIRE(reader.lacks(source.revisions()));
-    const value_reply reply = source.answer({"reader", reader.revisions()});
+    REQUIRE(reader.is_behind(source.revisions()));
+    const value_reply reply = source.build_reply({"reader", reader.revisions()});
     REQUIRE(reply.values.size() == 1);
     CHECK(reply.values[0].is_delta);
-    CHECK(reader.offer_transfer(reply.values[0]) == offer_result::taken);
+    CHECK(reader.apply_transfer(reply.values[0]) == apply_result::applied);
     CHECK(reader.fleet() == source.fleet());
     CHECK(reader.store_version("fleet") == 10);
-    CHECK_FALSE(reader.lacks(source.revisions()));
-    CHECK(source.answer({"reader", reader.revisions()}).values.empty());
-    CHECK(reader.offer_transfer(reply.values[0]) == offer_result::same);
+    CHECK_FALSE(reader.is_behind(source.revisions()));
+    CHECK(source.build_reply({"reader", reader.revisions()}).values.empty());
+    CHECK(reader.apply_transfer(reply.values[0]) == apply_result::same);
 
-    replica newcomer;
-    const value_reply whole = source.answer({"newcomer", {}});
+    replica new_reader;
+    const value_reply whole = source.build_reply({"newcomer", {}});
     CHECK_FALSE(whole.values[0].is_delta);
-    CHECK(newcomer.offer_transfer(reply.values[0]) == offer_result::wrong_base);
-    CHECK(newcomer.offer_transfer(whole.values[0]) == offer_result::taken);
+    CHECK(new_reader.apply_transfer(reply.values[0]) == apply_result::wrong_base);
+    CHECK(new_reader.apply_transfer(whole.values[0]) == apply_result::applied);
 }
 
 TEST_CASE("one live entry of each zone watches the store") {
@@ -100,14 +100,14 @@
         const std::string id = "w" + std::to_string(i);
         b.vm(id, "p");
         const vm_record& vm = *b.fleet.find_vm(id);
-        const std::string charge = entry_in_charge(b.fleet, vm, {});
-        ++load[charge];
-        REQUIRE((charge == "e1" || charge == "e2"));
+        const std::string responsible = find_responsible_entry(b.fleet, vm, {});
+        ++load[responsible];
+        REQUIRE((responsible == "e1" || responsible == "e2"));
         // Losing the other entry of the zone moves none of the VMs that it didn't have.
-        const std::string other = charge == "e1" ? "e2" : "e1";
-        REQUIRE(entry_in_charge(b.fleet, vm, {other}) == charge);
-        REQUIRE(entry_in_charge(b.fleet, vm, {"e1", "e2"}) == "e3");
-        REQUIRE(entry_in_charge(b.fleet, vm, {"e1", "e2", "e3"}).empty());
+        const std::string other = responsible == "e1" ? "e2" : "e1";
+        REQUIRE(find_responsible_entry(b.fleet, vm, {other}) == responsible);
+        REQUIRE(find_responsible_entry(b.fleet, vm, {"e1", "e2"}) == "e3");
+        REQUIRE(find_responsible_entry(b.fleet, vm, {"e1", "e2", "e3"}).empty());
     }
     CHECK(load["e1"] > 100);
     CHECK(load["e2"] > 100);
@@ -121,15 +121,15 @@
     b.fleet.planner = "e1003";
     std::set<std::string> reached;
     for (std::uint64_t tick = 0; tick < 140; ++tick) {
-        const auto peers = heartbeat_peers(b.fleet, "e1000", tick);
+        const auto peers = select_heartbeat_peers(b.fleet, "e1000", tick);
         REQUIRE(peers.size() <= 4);
-        bool planner = false;
+        bool reaches_planner = false;
         for (const entry_record& peer : peers) {
             REQUIRE(peer.id != "e1000");
-            planner = planner || peer.id == "e1003";
+            reaches_planner = reaches_planner || peer.id == "e1003";
             reached.insert(peer.id);
         }
-        REQUIRE(planner);
+        REQUIRE(reaches_planner);
     }
     CHECK(reached.size() == 139);
 }
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -14,13 +14,13 @@
 
 TEST_CASE("verdicts at the door") {
     struct row {
-        const char* story;
+        const char* description;
         pool_load load;
         timestamp deadline;
-        admission_step step;
+        admission_action action;
         answer_code code;
     };
-    using s = admission_step;
+    using s = admission_action;
     using c = answer_code;
     const std::vector<row> rows{
         {"a free slot", {8, 3, 10, true}, 1s, s::send, {}},
@@ -31,61 +31,64 @@
         {"no room in the queue", {8, 8, 0, true}, 1s, s::refuse, c::overloaded},
     };
     for (const row& r : rows) {
-        CAPTURE(r.story);
-        admission door(100, true);
-        const admission_verdict verdict = door.offer(request(1, "m", r.deadline), r.load, 0ms);
-        CHECK(verdict.step == r.step);
-        if (r.step == s::refuse) {
+        CAPTURE(r.description);
+        admission_controller controller(100, true);
+        const admission_verdict verdict = controller.admit(request(1, "m", r.deadline), r.load, 0ms);
+        CHECK(verdict.action == r.action);
+        if (r.action == s::refuse) {
             CHECK(verdict.code == r.code);
         }
-        CHECK(door.held() == (r.step == s::refuse ? 0 : 1));
+        CHECK(controller.held_requests() == (r.action == s::refuse ? 0 : 1));
     }
 }
 
 TEST_CASE("a member's burst takes no other member's share") {
-    admission door(10, true);
-    door.set_members(2);
-    int let_in = 0;
+    admission_controller controller(10, true);
+    controller.set_member_count(2);
+    int admitted = 0;
     for (std::uint64_t i = 0; i < 1000; ++i) {
-        const auto verdict = door.offer(request(i, "noisy", 10s), {1, 1, 1000, true}, 0ms);
-        let_in += verdict.step != admission_step::refuse ? 1 : 0;
-        if (verdict.step == admission_step::refuse) {
+        const auto verdict = controller.admit(request(i, "noisy", 10s), {1, 1, 1000, true}, 0ms);
+        admitted += verdict.action != admission_action::refuse ? 1 : 0;
+        if (verdict.action == admission_action::refuse) {
             CHECK(verdict.code == answer_code::member_share_used);
         }
     }
-    CHECK(let_in == 5);
-    CHECK(door.offer(request(2000, "quiet", 10s), {8, 0, 10, true}, 0ms).step != admission_step::refuse);
-    door.finished("p", "noisy", 20ms);
-    CHECK(door.offer(request(2001, "noisy", 10s), {1, 1, 1000, true}, 0ms).step == admission_step::wait);
+    CHECK(admitted == 5);
+    CHECK(controller.admit(request(2000, "quiet", 10s), {8, 0, 10, true}, 0ms).action !=
+          admission_action::refuse);
+    controller.record_finished("p", "noisy", 20ms);
+    CHECK(controller.admit(request(2001, "noisy", 10s), {1, 1, 1000, true}, 0ms).action ==
+          admission_action::wait);
 }
 
 TEST_CASE("what the entry holds is bounded under any load") {
-    admission door(64, true);
+    admission_controller controller(64, true);
     for (std::uint64_t i = 0; i < 10'000; ++i) {
-        (void)door.offer({i, "p" + std::to_string(i % 7), "m", 60s}, {8, 8, 100'000, true}, 0ms);
-        REQUIRE(door.held() <= 64);
+        (void)controller.admit({i, "p" + std::to_string(i % 7), "m", 60s}, {8, 8, 100'000, true}, 0ms);
+        REQUIRE(controller.held_requests() <= 64);
     }
 }
 
 TEST_CASE("the queue gives out requests in order and drops those whose time has passed") {
-    admission door(100, true);
+    admission_controller controller(100, true);
     const pool_load full{8, 8, 10, true};
-    REQUIRE(door.offer(request(1, "m", 100ms), full, 0ms).step == admission_step::wait);
-    REQUIRE(door.offer(request(2, "m", 900ms), full, 0ms).step == admission_step::wait);
-    REQUIRE(door.offer(request(3, "m", 900ms), full, 0ms).step == admission_step::wait);
-    CHECK(door.expire(200ms) == std::vector<std::uint64_t>{1});
-    CHECK(door.take("p", 200ms) == 2);
-    CHECK(door.take("p", 901ms) == std::nullopt);
-    CHECK(door.drain_queue("p") == std::vector<std::uint64_t>{3});
-    CHECK_FALSE(door.has_waiting("p"));
+    REQUIRE(controller.admit(request(1, "m", 100ms), full, 0ms).action == admission_action::wait);
+    REQUIRE(controller.admit(request(2, "m", 900ms), full, 0ms).action == admission_action::wait);
+    REQUIRE(controller.admit(request(3, "m", 900ms), full, 0ms).action == admission_action::wait);
+    CHECK(controller.remove_expired(200ms) == std::vector<std::uint64_t>{1});
+    CHECK(controller.pop_waiting("p", 200ms) == 2);
+    CHECK(controller.pop_waiting("p", 901ms) == std::nullopt);
+    CHECK(controller.remove_waiting("p") == std::vector<std::uint64_t>{3});
+    CHECK_FALSE(controller.has_waiting("p"));
 }
 
 TEST_CASE("a refusal says when to come back by the queue's pace") {
-    admission door(10'000, true);
+    admission_controller controller(10'000, true);
     for (std::uint64_t i = 0; i < 400; ++i) {
-        REQUIRE(door.offer(request(i, "m", 60s), {1, 1, 400, true}, 0ms).step == admission_step::wait);
+        REQUIRE(controller.admit(request(i, "m", 60s), {1, 1, 400, true}, 0ms).action ==
+                admission_action::wait);
     }
-    const admission_verdict verdict = door.offer(request(999, "m", 60s), {1, 1, 400, true}, 0ms);
+    const admission_verdict verdict = controller.admit(request(999, "m", 60s), {1, 1, 400, true}, 0ms);
     CHECK(verdict.code == answer_code::overloaded);
     CHECK(verdict.retry_after_s == 9); // 401 requests of 20 ms one after another.
 }
@@ -95,19 +98,19 @@
     std::int64_t sent = 0;
     for (timestamp now{0}; now < 100s; now += 10ms) {
         if (budget.allows(now)) {
-            budget.spend(3'000);
+            budget.consume(3'000);
             sent += 3'000;
         }
     }
     CHECK(sent >= 100'000);
     CHECK(sent <= 100'000 + 5'000 + 3'000);
-    byte_budget quiet(1'000, 5'000);
-    REQUIRE(quiet.allows(1s));
-    quiet.spend(3'000);
-    CHECK(quiet.allows(1s));
-    quiet.spend(9'000);
-    CHECK_FALSE(quiet.allows(7s));
-    CHECK(quiet.allows(9s));
+    byte_budget idle_budget(1'000, 5'000);
+    REQUIRE(idle_budget.allows(1s));
+    idle_budget.consume(3'000);
+    CHECK(idle_budget.allows(1s));
+    idle_budget.consume(9'000);
+    CHECK_FALSE(idle_budget.allows(7s));
+    CHECK(idle_budget.allows(9s));
 }
 
 TEST_CASE("retries stay a fraction of requests") {
@@ -115,8 +118,8 @@
     int retries = 0;
     for (int i = 0; i < 1000; ++i) {
         budget.on_request();
-        if (budget.available()) {
-            budget.spend();
+        if (budget.can_retry()) {
+            budget.consume();
             ++retries;
         }
     }
--- a/tests/policy/answers_test.cpp
+++ b/tests/policy/answers_test.cpp
@@ -41,7 +41,7 @@
     for (const row& item : rows) {
         CAPTURE(name_of(item.result));
         CAPTURE(item.attempts);
-        const attempt_verdict verdict = decide_after(
+        const attempt_verdict verdict = decide_next_step(
             {item.result, item.repeatable, item.sent_before, item.attempts, item.remaining, item.budget});
         CHECK(verdict.step == item.step);
         if (item.step == next_step::give_up) {
@@ -56,14 +56,14 @@
             for (const bool sent_before : {false, true}) {
                 for (int attempts = 1; attempts <= max_attempts; ++attempts) {
                     const auto kind = static_cast<attempt_result>(result);
-                    const attempt_verdict verdict =
-                        decide_after({kind, repeatable, sent_before, attempts, 1s, attempts < max_attempts});
-                    const bool may_have_run = sent_before || !certainly_not_run(kind);
+                    const attempt_verdict verdict = decide_next_step(
+                        {kind, repeatable, sent_before, attempts, 1s, attempts < max_attempts});
+                    const bool may_have_run = sent_before || !is_confirmed_not_run(kind);
                     if (verdict.step == next_step::give_up && may_have_run) {
-                        CHECK(rule_for(verdict.code).result == outcome::unknown);
+                        CHECK(find_answer_rule(verdict.code).result == outcome::unknown);
                     }
                     if (verdict.step == next_step::retry && !repeatable) {
-                        CHECK(certainly_not_run(kind));
+                        CHECK(is_confirmed_not_run(kind));
                     }
                 }
             }
@@ -73,7 +73,7 @@
 
 TEST_CASE("every own answer has one rule; not-run by load says when to come back") {
     for (int code = 0; code <= static_cast<int>(answer_code::answer_too_large); ++code) {
-        const answer_rule& rule = rule_for(static_cast<answer_code>(code));
+        const answer_rule& rule = find_answer_rule(static_cast<answer_code>(code));
         CAPTURE(rule.name);
         CHECK(rule.code == static_cast<answer_code>(code));
         CHECK((rule.status == 503) == (rule.retry_after_s > 0));
--- a/tests/policy/claims_test.cpp
+++ b/tests/policy/claims_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-using verdict = claim_shard::verdict;
+using claim_state = claim_shard::claim_state;
 
 const claim_key key_one = make_claim_key("p", "one");
 const claim_key key_two = make_claim_key("p", "two");
@@ -19,32 +19,32 @@
 
 TEST_CASE("what a shard says about a key") {
     struct row {
-        const char* story;
+        const char* description;
         std::vector<claim_entry> lines;
-        verdict expected;
+        claim_state expected;
     };
     const std::vector<row> rows{
-        {"never seen", {}, verdict::free},
-        {"another key", {line(key_two, 5)}, verdict::free},
-        {"held by this attempt", {line(key_one, 1)}, verdict::mine},
-        {"held by another attempt", {line(key_one, 2)}, verdict::taken},
-        {"given back", {line(key_one, 2), line(key_one, 2, true)}, verdict::free},
+        {"never seen", {}, claim_state::free},
+        {"another key", {line(key_two, 5)}, claim_state::free},
+        {"held by this attempt", {line(key_one, 1)}, claim_state::held_by_attempt},
+        {"held by another attempt", {line(key_one, 2)}, claim_state::held_by_other},
+        {"given back", {line(key_one, 2), line(key_one, 2, true)}, claim_state::free},
         {"given back and taken again",
          {line(key_one, 2), line(key_one, 2, true), line(key_one, 3)},
-         verdict::taken},
+         claim_state::held_by_other},
     };
     for (const row& r : rows) {
-        CAPTURE(r.story);
+        CAPTURE(r.description);
         claim_shard open;
         open.set_open({0, r.lines, {}}, 1);
-        CHECK(open.look(key_one, 1) == r.expected);
+        CHECK(open.check_claim(key_one, 1) == r.expected);
         claim_shard previous;
         previous.set_open({1, {}, r.lines}, 1);
-        CHECK(previous.look(key_one, 1) == r.expected);
+        CHECK(previous.check_claim(key_one, 1) == r.expected);
         claim_shard closed;
         closed.set_open({2, {}, {}}, 1);
         closed.add_closed(0, r.lines, 0s);
-        CHECK(closed.look(key_one, 1) == r.expected);
+        CHECK(closed.check_claim(key_one, 1) == r.expected);
     }
 }
 
@@ -55,13 +55,13 @@
     claim_shard second;
     first.set_open({}, 7);
     second.set_open({}, 7);
-    REQUIRE(first.look(key_one, 1) == verdict::free);
-    REQUIRE(second.look(key_one, 2) == verdict::free);
-    const claim_log stored = first.with({line(key_one, 1)}); // Version 8 in the store.
+    REQUIRE(first.check_claim(key_one, 1) == claim_state::free);
+    REQUIRE(second.check_claim(key_one, 2) == claim_state::free);
+    const claim_log stored = first.make_log_with({line(key_one, 1)}); // Version 8 in the store.
     second.set_open(stored, 8);
-    CHECK(second.look(key_one, 2) == verdict::taken);
+    CHECK(second.check_claim(key_one, 2) == claim_state::held_by_other);
     first.set_open(stored, 8);
-    CHECK(first.look(key_one, 1) == verdict::mine); // Also after its answer was lost.
+    CHECK(first.check_claim(key_one, 1) == claim_state::held_by_attempt); // Also after its answer was lost.
 }
 
 TEST_CASE("no line is lost when generations roll") {
@@ -76,33 +76,33 @@
             }
             shard.set_open(shard.next_generation(), ++version);
         }
-        shard.set_open(shard.with({line(key(i), 1)}), ++version);
+        shard.set_open(shard.make_log_with({line(key(i), 1)}), ++version);
     }
-    claim_shard newcomer;
-    newcomer.set_open(shard.open(), version);
+    claim_shard new_copy;
+    new_copy.set_open(shard.open(), version);
     std::uint64_t generation = 0;
-    while (newcomer.missing_generation(generation)) {
+    while (new_copy.find_missing_generation(generation)) {
         const auto found = std::find_if(closed.begin(), closed.end(),
                                         [&](const auto& item) { return item.first == generation; });
         REQUIRE(found != closed.end());
-        newcomer.add_closed(generation, found->second, 0s);
+        new_copy.add_closed(generation, found->second, 0s);
     }
     for (int i = 0; i < 1000; ++i) {
-        REQUIRE(newcomer.look(key(i), 2) == verdict::taken);
+        REQUIRE(new_copy.check_claim(key(i), 2) == claim_state::held_by_other);
     }
-    CHECK(newcomer.remembered() == 1000);
+    CHECK(new_copy.line_count() == 1000);
 }
 
 TEST_CASE("claims are forgotten only after the window") {
     claim_shard shard;
     shard.set_open({5, {}, {}}, 1);
     shard.add_closed(3, {line(key_one, 1)}, 1s);
-    shard.forget(1s + claim_window);
-    CHECK(shard.look(key_one, 2) == verdict::taken);
-    shard.forget(2s + claim_window);
-    CHECK(shard.look(key_one, 2) == verdict::free);
+    shard.remove_expired(1s + claim_retention);
+    CHECK(shard.check_claim(key_one, 2) == claim_state::held_by_other);
+    shard.remove_expired(2s + claim_retention);
+    CHECK(shard.check_claim(key_one, 2) == claim_state::free);
     std::uint64_t generation = 0;
-    CHECK_FALSE(shard.missing_generation(generation));
+    CHECK_FALSE(shard.find_missing_generation(generation));
 }
 
 TEST_CASE("keys of two pools never meet") {
--- a/tests/policy/fleet_builder.hpp
+++ b/tests/policy/fleet_builder.hpp
@@ -18,7 +18,7 @@
         config.number = 1;
         config.members["m"] = {std::string(64, '0'), true};
         fleet.revision = 10;
-        seen.list_known = true;
+        seen.is_list_known = true;
     }
 
     fleet_builder& pool(const std::string& name, std::int64_t promised, std::int64_t size) {
@@ -47,10 +47,10 @@
         record.memory_mb = 64'000;
         record.pool = pool;
         record.state = pool.empty() ? vm_state::free : vm_state::serving;
-        record.boot = 1;
-        record.since = 1;
+        record.boot_count = 1;
+        record.state_revision = 1;
         fleet.put_vm(record);
-        list(id, record);
+        add_to_list(id, record);
         return *this;
     }
 
@@ -66,7 +66,7 @@
         item.incarnation = 7;
         item.applied_config = config.number;
         item.applied_fleet = fleet.revision;
-        item.heard = now;
+        item.received_at = now;
     }
 
     void report_all() {
@@ -75,7 +75,7 @@
         }
     }
 
-    void list(const std::string& id, const vm_record& record) {
+    void add_to_list(const std::string& id, const vm_record& record) {
         listed_vm item;
         item.id = id;
         item.availability_zone = record.availability_zone;
@@ -85,14 +85,14 @@
         item.agent_port = record.agent_port;
         item.cores = record.cores;
         item.memory_mb = record.memory_mb;
-        item.boot = record.boot;
-        seen.listed[id] = item;
+        item.boot_count = record.boot_count;
+        seen.listed_vms[id] = item;
     }
 
     /// One planning step `later` milliseconds on, with a fresh list; takes over what it decided.
     fleet_plan step(planner& planning, milliseconds later = 1s) {
         now += later;
-        seen.list_read = now;
+        seen.list_read_at = now;
         fleet_plan plan = planning.step(config, fleet, seen, now);
         if (plan.changed) {
             fleet = plan.next;
@@ -101,9 +101,9 @@
     }
 
     /// The platform carries out the reboots, all entries report, and returning VMs pass their check.
-    void settle(const fleet_plan& plan) {
+    void complete_actions(const fleet_plan& plan) {
         for (const reboot_action& action : plan.reboots) {
-            seen.listed[action.vm].boot = fleet.find_vm(action.vm)->boot + 1;
+            seen.listed_vms[action.vm].boot_count = fleet.find_vm(action.vm)->boot_count + 1;
         }
         for (auto& [id, item] : seen.entries) {
             item.healthy_vms.clear();
@@ -119,7 +119,7 @@
     /// Steps and settles `count` times, or until nothing changes any more.
     void run(planner& planning, int count = 60) {
         for (int i = 0; i < count; ++i) {
-            settle(step(planning));
+            complete_actions(step(planning));
         }
     }
 
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -32,9 +32,9 @@
         REQUIRE(is_refused(bytes.substr(0, length)));
     }
     CHECK(is_refused(bytes + "x"));
-    std::string hostile = bytes;
-    std::fill(hostile.begin() + 8, hostile.begin() + 16, '\xff'); // The length of the write id.
-    CHECK(is_refused(hostile));
+    std::string oversized = bytes;
+    std::fill(oversized.begin() + 8, oversized.begin() + 16, '\xff'); // The length of the write id.
+    CHECK(is_refused(oversized));
 }
 
 TEST_CASE("a delta carries a record from its base, and from no other revision") {
--- a/tests/policy/placement_test.cpp
+++ b/tests/policy/placement_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-struct job_bench {
+struct placement_fixture {
     fleet_builder b;
     job_table table;
     usage_estimates usage;
@@ -16,7 +16,7 @@
     placement_options options;
     std::vector<placement_decision> decisions;
 
-    job_bench() {
+    placement_fixture() {
         b.pool("p", 1, 2).pool("q", 1, 1).entry("e1");
         b.vm("w1", "p", "a", "r1").vm("w2", "p", "a", "r2").vm("w9", "q");
         b.config.teams["t"] = {"m", 100'000, 0};
@@ -47,7 +47,7 @@
 } // namespace
 
 TEST_CASE("jobs are placed on serving VMs of their own pool only") {
-    job_bench j;
+    placement_fixture j;
     j.add("j1", 30'000);
     j.add("j2", 30'000);
     j.add("j3", 30'000);
@@ -65,7 +65,7 @@
 }
 
 TEST_CASE("a job that can run nowhere is parked with its reason and not tried again") {
-    job_bench j;
+    placement_fixture j;
     j.add("big", 90'000);
     j.place();
     CHECK(j.job("big").state == job_state::parked);
@@ -79,7 +79,7 @@
 }
 
 TEST_CASE("urgent jobs go first, and a patient one makes way") {
-    job_bench j;
+    placement_fixture j;
     j.add("sweep1", 30'000, job_urgency::patient);
     j.add("sweep2", 30'000, job_urgency::patient);
     j.place();
@@ -88,13 +88,13 @@
     }
     j.add("quick", 20'000, job_urgency::urgent);
     j.place();
-    const bool one_stops =
+    const bool exactly_one_stops =
         (j.job("sweep1").state == job_state::stopping) != (j.job("sweep2").state == job_state::stopping);
-    CHECK(one_stops);
+    CHECK(exactly_one_stops);
     CHECK_FALSE(j.place()); // Waiting for the stop: no second sweep is stopped for the same job.
     job_record& stopped = j.job("sweep1").state == job_state::stopping ? j.job("sweep1") : j.job("sweep2");
     const std::string vm = stopped.vm;
-    REQUIRE(enter_task_news(j.table, {{stopped.id, stopped.epoch, task_result::stopped, vm}}));
+    REQUIRE(apply_task_updates(j.table, {{stopped.id, stopped.epoch, task_result::stopped, vm}}));
     j.place();
     CHECK(j.job("quick").state == job_state::assigned);
     CHECK(j.job("quick").vm == vm);
@@ -103,7 +103,7 @@
 TEST_CASE("jobs on a leaving VM") {
     // A wave cordons w1. Its sweep is checkpointed and moves; its digest, nearly over, is left to finish
     // there.
-    job_bench j;
+    placement_fixture j;
     j.add("sweep", 1'000, job_urgency::patient);
     j.add("digest", 1'000, job_urgency::daily);
     j.b.fleet.find_vm("w2")->state = vm_state::free;
@@ -121,7 +121,7 @@
 TEST_CASE("a job is given away only once its task has certainly ended") {
     // w1 is lost, perhaps only cut off, and may still run the bill. Until its lease has run out everywhere
     // the job stays with it; a second copy would bill a customer twice.
-    job_bench j;
+    placement_fixture j;
     j.add("bill", 1'000);
     j.place();
     const std::string vm = j.job("bill").vm;
@@ -142,7 +142,7 @@
 TEST_CASE("a sweep waits for its own VM where moves weigh most, a digest does not") {
     // A VM restarts and is back in minutes. Moved, the sweep would start elsewhere; left alone it goes on
     // where it was.
-    job_bench j;
+    placement_fixture j;
     j.options = placement_options_for({1, 4});
     j.add("sweep", 1'000, job_urgency::patient);
     j.add("digest", 1'000, job_urgency::daily);
@@ -168,7 +168,7 @@
 }
 
 TEST_CASE("a held sweep moves when its VM is given up") {
-    job_bench j;
+    placement_fixture j;
     j.options = placement_options_for({1, 4});
     job_record& sweep = j.add("sweep", 1'000, job_urgency::patient);
     sweep.last_vm = "w1";
@@ -182,21 +182,21 @@
 }
 
 TEST_CASE("a worker's word on an older epoch is ignored") {
-    job_bench j;
+    placement_fixture j;
     j.add("bill", 1'000);
     j.place();
     j.job("bill").epoch = 4;
     for (const auto result :
          {task_result::done, task_result::failed, task_result::stopped, task_result::running}) {
-        CHECK_FALSE(enter_task_news(j.table, {{"bill", 3, result, "w1"}}));
+        CHECK_FALSE(apply_task_updates(j.table, {{"bill", 3, result, "w1"}}));
     }
-    CHECK(enter_task_news(j.table, {{"bill", 4, task_result::done, "w1"}}));
-    CHECK_FALSE(enter_task_news(j.table, {{"bill", 4, task_result::done, "w1"}}));
+    CHECK(apply_task_updates(j.table, {{"bill", 4, task_result::done, "w1"}}));
+    CHECK_FALSE(apply_task_updates(j.table, {{"bill", 4, task_result::done, "w1"}}));
     CHECK(j.job("bill").state == job_state::done);
 }
 
 TEST_CASE("quotas hold over a team's running jobs") {
-    job_bench j;
+    placement_fixture j;
     j.b.config.teams["t"].cpu_millicores = 5'000;
     j.add("j1", 3'000);
     j.add("j2", 3'000);
@@ -208,14 +208,14 @@
 }
 
 TEST_CASE("learnt usage replaces declared sizes") {
-    job_bench j;
+    placement_fixture j;
     job_record& job = j.add("j1", 31'000);
     job.kind = "digest";
     for (int i = 0; i < 2; ++i) {
-        j.usage.learn("digest", {1'000, 50, 0});
+        j.usage.record_usage("digest", {1'000, 50, 0});
         CHECK(j.usage.planned_size(job).cpu_millicores == 31'000);
     }
-    j.usage.learn("digest", {1'000, 50, 0});
+    j.usage.record_usage("digest", {1'000, 50, 0});
     CHECK(j.usage.planned_size(job).cpu_millicores == 1'200);
     for (int i = 0; i < 3; ++i) {
         j.add("d" + std::to_string(i), 9'000).kind = "sweep";
@@ -225,27 +225,27 @@
     CHECK(j.usage.planned_size(next).cpu_millicores == 9'000);
     j.place();
     for (job_record& running : j.table.jobs) {
-        (void)enter_task_news(j.table,
-                              {{running.id, running.epoch, task_result::done, "w1", {2'000, 10, 0}}});
+        (void)apply_task_updates(j.table,
+                                 {{running.id, running.epoch, task_result::done, "w1", {2'000, 10, 0}}});
     }
-    j.usage.look("p", j.table);
-    j.usage.look("p", j.table); // Looking twice counts once.
+    j.usage.update_from_table("p", j.table);
+    j.usage.update_from_table("p", j.table); // Looking twice counts once.
     CHECK(j.usage.planned_size(next).cpu_millicores == 2'400);
 }
 
 TEST_CASE("a worker that fails every task is set aside, a job that fails everywhere ends") {
-    job_bench j;
-    worker_watch watch;
-    std::vector<std::string> aside;
+    placement_fixture j;
+    worker_health_tracker tracker;
+    std::vector<std::string> quarantined;
     for (int i = 0; i < 3; ++i) {
         const std::string id = "j" + std::to_string(i);
         j.add(id, 1'000);
         j.job(id).failures = 1;
         j.job(id).failed_on = "w1";
-        aside = watch.look("p", j.table, j.b.now);
+        quarantined = tracker.update("p", j.table, j.b.now);
     }
-    CHECK(aside == std::vector<std::string>{"w1"});
-    j.workers = watch.workers();
+    CHECK(quarantined == std::vector<std::string>{"w1"});
+    j.workers = tracker.workers();
     j.place();
     for (const job_record& job : j.table.jobs) {
         CHECK(job.vm == "w2");
@@ -256,18 +256,18 @@
 }
 
 TEST_CASE("a wave of cancellations ends every job, wherever it stands") {
-    job_bench j;
+    placement_fixture j;
     for (int i = 0; i < 50; ++i) {
         j.add("j" + std::to_string(i), 1'000);
     }
     j.place();
-    std::vector<task_news> news;
+    std::vector<task_update> updates;
     for (job_record& job : j.table.jobs) {
-        job.state = may_run(job.state) ? job_state::cancelling : job_state::cancelled;
-        news.push_back({job.id, job.epoch, task_result::stopped, job.vm});
+        job.state = may_be_running(job.state) ? job_state::cancelling : job_state::cancelled;
+        updates.push_back({job.id, job.epoch, task_result::stopped, job.vm});
     }
     j.place();
-    enter_task_news(j.table, news);
+    apply_task_updates(j.table, updates);
     for (const job_record& job : j.table.jobs) {
         CHECK(job.state == job_state::cancelled);
     }
--- a/tests/policy/planner_test.cpp
+++ b/tests/policy/planner_test.cpp
@@ -14,13 +14,13 @@
     return b;
 }
 
-std::int64_t serving(const fleet_builder& b, const std::string& pool) {
+std::int64_t count_serving(const fleet_builder& b, const std::string& pool) {
     return std::count_if(b.fleet.vms.begin(), b.fleet.vms.end(), [&](const vm_record& vm) {
         return vm.pool == pool && vm.state == vm_state::serving;
     });
 }
 
-bool waits_for(const fleet_plan& plan, const std::string& subject, const std::string& part) {
+bool has_wait(const fleet_plan& plan, const std::string& subject, const std::string& part) {
     return std::any_of(plan.waits.begin(), plan.waits.end(), [&](const plan_wait& item) {
         return item.subject == subject && item.reason.find(part) != std::string::npos;
     });
@@ -33,15 +33,15 @@
     b.wave("spring", "p", 1, 2);
     planner planning;
     for (int i = 0; i < 60; ++i) {
-        b.settle(b.step(planning));
-        REQUIRE(serving(b, "p") >= 2);
+        b.complete_actions(b.step(planning));
+        REQUIRE(count_serving(b, "p") >= 2);
     }
     for (const char* id : {"w1", "w2", "w3"}) {
-        CHECK(b.fleet.find_vm(id)->wave == 1);
+        CHECK(b.fleet.find_vm(id)->completed_wave == 1);
         CHECK(b.state(id) == vm_state::serving);
         CHECK(b.pool_of(id) == "p");
     }
-    CHECK(b.fleet.find_vm("w4")->wave == 0);
+    CHECK(b.fleet.find_vm("w4")->completed_wave == 0);
 }
 
 TEST_CASE("an entry that has not applied the cordon holds the drain up") {
@@ -55,11 +55,11 @@
     REQUIRE(b.state("w1") == vm_state::cordoned);
     b.report("e1");
     for (int i = 0; i < 20; ++i) {
-        b.seen.entries["e2"].heard = b.now;
+        b.seen.entries["e2"].received_at = b.now;
         const fleet_plan plan = b.step(planning);
         b.report("e1");
         REQUIRE(b.state("w1") == vm_state::cordoned);
-        REQUIRE(waits_for(plan, "vm w1", "e2"));
+        REQUIRE(has_wait(plan, "vm w1", "e2"));
     }
     b.report("e2");
     b.step(planning);
@@ -72,8 +72,8 @@
     fleet_builder b = two_pools();
     b.wave("spring", "p", 1, 1);
     planner planning;
-    b.settle(b.step(planning));
-    b.settle(b.step(planning));
+    b.complete_actions(b.step(planning));
+    b.complete_actions(b.step(planning));
     REQUIRE(b.state("w1") == vm_state::draining);
     b.report_all();
     b.seen.entries["e1"].busy_vms.insert("w1");
@@ -82,7 +82,7 @@
         b.report_all();
         REQUIRE(b.state("w1") == vm_state::draining);
         REQUIRE(plan.reboots.empty());
-        REQUIRE(waits_for(plan, "vm w1", i < 61 ? "requests in progress at entries: e1" : "overdue"));
+        REQUIRE(has_wait(plan, "vm w1", i < 61 ? "requests in progress at entries: e1" : "overdue"));
     }
     b.seen.entries["e1"].busy_vms.clear();
     b.step(planning);
@@ -91,7 +91,7 @@
 
 TEST_CASE("a silent entry is dropped only on proof") {
     struct row {
-        const char* story;
+        const char* description;
         bool refused;
         milliseconds silence;
         std::uint64_t incarnation;
@@ -106,13 +106,13 @@
         {"an operator says so", false, 60s, 7, true, true},
     };
     for (const row& r : rows) {
-        CAPTURE(r.story);
+        CAPTURE(r.description);
         fleet_builder b = two_pools();
         planner planning;
         b.now = 100s;
         b.report_all();
-        b.seen.entries["e2"].heard = b.now + 1s - r.silence;
-        b.seen.entries["e2"].process_gone = r.refused;
+        b.seen.entries["e2"].received_at = b.now + 1s - r.silence;
+        b.seen.entries["e2"].has_process_ended = r.refused;
         b.seen.entries["e2"].incarnation = r.incarnation;
         if (r.by_operator) {
             b.config.removed_entries.insert("e2@7");
@@ -125,27 +125,28 @@
 
 TEST_CASE("planned steps count every VM that is not known to be available as unavailable") {
     struct row {
-        const char* story;
-        void (*doubt)(fleet_builder&);
+        const char* description;
+        void (*add_doubt)(fleet_builder&);
     };
     const std::vector<row> rows{
         {"an entry suspects a VM", [](fleet_builder& b) { b.seen.entries["e2"].suspect_vms.insert("w3"); }},
-        {"a VM is unlisted", [](fleet_builder& b) { b.seen.listed.erase("w3"); }},
-        {"a VM is leaving", [](fleet_builder& b) { b.seen.listed["w3"].state = listing::leaving; }},
-        {"a zone is silent", [](fleet_builder& b) { b.seen.entries["e2"].heard = timestamp{0} - 1min; }},
-        {"a VM restarted by itself", [](fleet_builder& b) { b.seen.listed["w3"].boot = 5; }},
+        {"a VM is unlisted", [](fleet_builder& b) { b.seen.listed_vms.erase("w3"); }},
+        {"a VM is leaving", [](fleet_builder& b) { b.seen.listed_vms["w3"].state = listing_state::leaving; }},
+        {"a zone is silent",
+         [](fleet_builder& b) { b.seen.entries["e2"].received_at = timestamp{0} - 1min; }},
+        {"a VM restarted by itself", [](fleet_builder& b) { b.seen.listed_vms["w3"].boot_count = 5; }},
     };
     for (const row& r : rows) {
-        CAPTURE(r.story);
+        CAPTURE(r.description);
         fleet_builder b = two_pools();
         b.wave("spring", "p", 1, 1);
-        r.doubt(b);
+        r.add_doubt(b);
         planner planning;
         const fleet_plan plan = b.step(planning);
         for (const vm_record& vm : b.fleet.vms) {
             CHECK(vm.reason != stop_reason::wave);
         }
-        CHECK(waits_for(plan, "wave spring", "budget of pool p: 2 available, 2 promised"));
+        CHECK(has_wait(plan, "wave spring", "budget of pool p: 2 available, 2 promised"));
     }
 }
 
@@ -153,15 +154,15 @@
     fleet_builder b = two_pools();
     b.wave("spring", "p", 1, 1);
     planner planning;
-    b.settle(b.step(planning));
+    b.complete_actions(b.step(planning));
     REQUIRE(b.state("w1") == vm_state::cordoned);
-    const timestamp read = b.seen.list_read;
+    const timestamp read = b.seen.list_read_at;
     b.now += 20s;
     b.report_all();
     fleet_plan plan = planning.step(b.config, b.fleet, b.seen, b.now);
-    REQUIRE(b.seen.list_read == read);
+    REQUIRE(b.seen.list_read_at == read);
     CHECK(plan.next.find_vm("w1")->state == vm_state::draining);
-    CHECK(waits_for(plan, "fleet", "VM list is older"));
+    CHECK(has_wait(plan, "fleet", "VM list is older"));
 }
 
 TEST_CASE("two waves over overlapping VMs share one budget") {
@@ -169,14 +170,14 @@
     b.wave("spring", "p", 1, 3).wave("kernel", "*", 2, 4);
     planner planning;
     for (int i = 0; i < 120; ++i) {
-        b.settle(b.step(planning));
-        REQUIRE(serving(b, "p") >= 2);
+        b.complete_actions(b.step(planning));
+        REQUIRE(count_serving(b, "p") >= 2);
     }
-    CHECK(b.fleet.find_vm("w1")->wave == 2);
+    CHECK(b.fleet.find_vm("w1")->completed_wave == 2);
     // Pool q promises its only VM and nothing is free to lend: its turn waits for ever and says so.
     const fleet_plan plan = b.step(planning);
-    CHECK(waits_for(plan, "wave kernel", "budget of pool q: 1 available, 1 promised"));
-    CHECK(b.fleet.find_vm("w4")->wave == 0);
+    CHECK(has_wait(plan, "wave kernel", "budget of pool q: 1 available, 1 promised"));
+    CHECK(b.fleet.find_vm("w4")->completed_wave == 0);
 }
 
 TEST_CASE("a free VM is lent so that a pool without spare can be maintained") {
@@ -184,11 +185,11 @@
     b.vm("w5", "").wave("spring", "q", 1, 1);
     planner planning;
     for (int i = 0; i < 60; ++i) {
-        b.settle(b.step(planning));
-        REQUIRE(serving(b, "q") >= 1);
+        b.complete_actions(b.step(planning));
+        REQUIRE(count_serving(b, "q") >= 1);
     }
-    CHECK(b.fleet.find_vm("w4")->wave == 1);
-    CHECK(serving(b, "q") == 1);
+    CHECK(b.fleet.find_vm("w4")->completed_wave == 1);
+    CHECK(count_serving(b, "q") == 1);
     CHECK(std::count_if(b.fleet.vms.begin(), b.fleet.vms.end(),
                         [](const auto& vm) { return vm.state == vm_state::free; }) == 1);
 }
@@ -199,21 +200,22 @@
     fleet_builder b = two_pools();
     b.vm("w5", "", "a", "r5").wave("spring", "p", 1, 1);
     planner planning;
-    b.settle(b.step(planning));
+    b.complete_actions(b.step(planning));
     REQUIRE(b.state("w1") == vm_state::cordoned);
-    b.seen.listed.erase("w2");
+    b.seen.listed_vms.erase("w2");
     for (int i = 0; i < 900; ++i) { // Longer than the patience with a lost VM.
         const fleet_plan plan = b.step(planning);
         REQUIRE_FALSE(plan.pools.at("p").breached());
         for (const vm_record& vm : b.fleet.vms) {
-            const bool newly = vm.since == b.fleet.revision && vm.state == vm_state::cordoned;
-            REQUIRE_FALSE((newly && plan.pools.at("p").available < 2));
+            const bool is_newly_cordoned =
+                vm.state_revision == b.fleet.revision && vm.state == vm_state::cordoned;
+            REQUIRE_FALSE((is_newly_cordoned && plan.pools.at("p").available < 2));
         }
-        b.settle(plan);
+        b.complete_actions(plan);
     }
-    CHECK(b.fleet.find_vm("w1")->wave == 1);
-    CHECK(b.fleet.find_vm("w3")->wave == 1);
-    CHECK(serving(b, "p") == 3);
+    CHECK(b.fleet.find_vm("w1")->completed_wave == 1);
+    CHECK(b.fleet.find_vm("w3")->completed_wave == 1);
+    CHECK(count_serving(b, "p") == 3);
 }
 
 TEST_CASE("a breach by failures alone is reported and no planned step adds to it") {
@@ -224,7 +226,7 @@
     for (int i = 0; i < 30; ++i) {
         const fleet_plan plan = b.step(planning);
         b.report("e2");
-        b.seen.entries["e1"].heard = b.now;
+        b.seen.entries["e1"].received_at = b.now;
         REQUIRE(plan.pools.at("p").breached());
         REQUIRE(b.state("w1") == vm_state::serving);
         REQUIRE(b.state("w2") == vm_state::serving);
@@ -240,21 +242,21 @@
         b.report_all(); // The platform never carries the reboot out.
     }
     REQUIRE(b.state("w1") == vm_state::in_maintenance);
-    b.seen.listed.erase("w1");
+    b.seen.listed_vms.erase("w1");
     b.step(planning, 16min);
     CHECK(b.state("w1") == vm_state::lost);
     b.run(planning, 700);
-    CHECK(serving(b, "p") == 3);
+    CHECK(count_serving(b, "p") == 3);
 }
 
 TEST_CASE("a lost VM keeps its pool until nobody can send to it") {
     // The list drops w2 although it is alive behind a cut. Were it given to pool q at once, an entry with an
     // old record would send a carrier's request to its rival's VM.
     fleet_builder b = two_pools();
-    planner_options impatient;
-    impatient.restart_patience = 0ms;
-    planner planning(impatient);
-    b.seen.listed.erase("w2");
+    planner_options options;
+    options.replacement_delay = 0ms;
+    planner planning(options);
+    b.seen.listed_vms.erase("w2");
     b.step(planning);
     b.report("e1");
     b.step(planning, 11s);
@@ -282,7 +284,7 @@
     const std::uint32_t epoch = b.fleet.find_vm("w1")->epoch;
     std::vector<vm_state> path;
     for (int i = 0; i < 20; ++i) {
-        b.settle(b.step(planning));
+        b.complete_actions(b.step(planning));
         if (path.empty() || path.back() != b.state("w1")) {
             path.push_back(b.state("w1"));
         }
@@ -304,8 +306,8 @@
     }
     planner planning;
     const fleet_plan plan = b.step(planning);
-    CHECK(serving(b, "p") == 4);
-    CHECK(waits_for(plan, "zone a", "not believed"));
+    CHECK(count_serving(b, "p") == 4);
+    CHECK(has_wait(plan, "zone a", "not believed"));
     b.seen.entries["e1"].suspect_vms = {"w2"};
     b.step(planning);
     CHECK(b.state("w2") == vm_state::lost);
@@ -315,17 +317,17 @@
     fleet_builder b = two_pools();
     b.wave("spring", "p", 1, 1);
     planner planning;
-    b.settle(b.step(planning));
+    b.complete_actions(b.step(planning));
     REQUIRE(b.state("w1") == vm_state::cordoned);
     b.config.pools["p"].promised = 3;
     b.run(planning);
-    CHECK(b.fleet.find_vm("w1")->wave == 0); // Back in service before its turn was over.
-    CHECK(b.fleet.find_vm("w2")->wave == 0);
-    CHECK(serving(b, "p") == 3);
+    CHECK(b.fleet.find_vm("w1")->completed_wave == 0); // Back in service before its turn was over.
+    CHECK(b.fleet.find_vm("w2")->completed_wave == 0);
+    CHECK(count_serving(b, "p") == 3);
     b.config.pools["p"].promised = 2;
     b.run(planning);
-    CHECK(b.fleet.find_vm("w1")->wave == 1);
-    CHECK(b.fleet.find_vm("w2")->wave == 1);
+    CHECK(b.fleet.find_vm("w1")->completed_wave == 1);
+    CHECK(b.fleet.find_vm("w2")->completed_wave == 1);
 }
 
 TEST_CASE("the same session gives the same plan, to the byte") {
@@ -349,15 +351,15 @@
     fleet_builder b = two_pools();
     b.wave("spring", "p", 1, 1);
     planner planning;
-    b.settle(b.step(planning));
-    b.settle(b.step(planning));
+    b.complete_actions(b.step(planning));
+    b.complete_actions(b.step(planning));
     REQUIRE(b.state("w1") == vm_state::draining);
     b.seen.entries["e2"].suspect_vms = {"w3"};
     const fleet_plan plan = b.step(planning);
     CHECK(b.state("w1") == vm_state::serving);
-    CHECK(b.fleet.find_vm("w1")->goal_wave == 0);
+    CHECK(b.fleet.find_vm("w1")->active_wave == 0);
     CHECK(plan.reboots.empty());
     b.seen.entries["e2"].suspect_vms.clear();
     b.run(planning);
-    CHECK(b.fleet.find_vm("w1")->wave == 1);
+    CHECK(b.fleet.find_vm("w1")->completed_wave == 1);
 }
--- a/tests/policy/routing_test.cpp
+++ b/tests/policy/routing_test.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-struct routing_bench {
+struct routing_fixture {
     fleet_builder b;
     target_table targets{"a", routing_policy::two_choices};
     random_source random{1};
 
-    routing_bench() {
+    routing_fixture() {
         b.pool("p", 1, 3).entry("e1").vm("w1", "p", "a").vm("w2", "p", "a").vm("w3", "p", "b");
         apply();
     }
@@ -35,7 +35,7 @@
 } // namespace
 
 TEST_CASE("the own zone goes first, others when it is full or tried") {
-    routing_bench r;
+    routing_fixture r;
     for (int i = 0; i < 16; ++i) {
         const std::string vm = r.choose();
         CHECK((vm == "w1" || vm == "w2"));
@@ -47,7 +47,7 @@
 }
 
 TEST_CASE("a target that leaves gets nothing new, and is reported busy until its last request ends") {
-    routing_bench r;
+    routing_fixture r;
     r.targets.on_sent("w1");
     const auto choice = r.targets.choose("p", {"w2", "w3"}, r.b.now, r.random);
     REQUIRE(choice.has_value());
@@ -56,7 +56,7 @@
     for (int i = 0; i < 40; ++i) {
         CHECK(r.choose() != "w1");
     }
-    CHECK_FALSE(r.targets.still_valid(*choice, "p"));
+    CHECK_FALSE(r.targets.is_still_valid(*choice, "p"));
     CHECK(r.targets.busy_vms() == std::set<std::string>{"w1"});
     r.targets.on_finished("w1", attempt_result::answered, r.b.now);
     CHECK(r.targets.busy_vms().empty());
@@ -64,23 +64,23 @@
 
 TEST_CASE("a choice made before a VM changed hands is not valid after it") {
     // A request waits for its claim while its VM is drained, given to a rival and serves there again.
-    routing_bench r;
+    routing_fixture r;
     const auto choice = r.targets.choose("p", {"w2", "w3"}, r.b.now, r.random);
     vm_record& vm = *r.b.fleet.find_vm("w1");
     vm.pool = "q";
     ++vm.epoch;
     r.apply();
-    CHECK_FALSE(r.targets.still_valid(*choice, "p"));
-    CHECK_FALSE(r.targets.still_valid(*choice, "q"));
+    CHECK_FALSE(r.targets.is_still_valid(*choice, "p"));
+    CHECK_FALSE(r.targets.is_still_valid(*choice, "q"));
     // Back in its first pool it is another service's instance all the same.
     vm.pool = "p";
     ++vm.epoch;
     r.apply();
-    CHECK_FALSE(r.targets.still_valid(*choice, "p"));
+    CHECK_FALSE(r.targets.is_still_valid(*choice, "p"));
 }
 
 TEST_CASE("a failing target is set aside, tried again and taken back") {
-    routing_bench r;
+    routing_fixture r;
     r.fail("w1", 3);
     CHECK(r.targets.suspect_vms() == std::set<std::string>{"w1"});
     for (int i = 0; i < 40; ++i) {
@@ -98,7 +98,7 @@
 }
 
 TEST_CASE("with most targets failing none is set aside: the rest would drown") {
-    routing_bench r;
+    routing_fixture r;
     r.fail("w1", 3);
     r.fail("w2", 3);
     std::set<std::string> chosen;
@@ -109,7 +109,7 @@
 }
 
 TEST_CASE("refusals shrink this entry's share of a target, success at the limit grows it") {
-    routing_bench r;
+    routing_fixture r;
     const auto limit = [&] { return r.targets.capacity("p", r.b.now); };
     const std::int64_t before = limit();
     r.targets.on_sent("w1");
@@ -124,7 +124,7 @@
 }
 
 TEST_CASE("a returning target starts slowly") {
-    routing_bench r;
+    routing_fixture r;
     vm_record& vm = *r.b.fleet.find_vm("w1");
     vm.state = vm_state::in_maintenance;
     r.apply();
@@ -142,13 +142,13 @@
 TEST_CASE("a pause is noticed before anything is sent") {
     // The process is stopped for a minute while its registration is removed and a VM changes hands. Its first
     // request after waking must not be routed by the old record.
-    pause_detector pauses;
-    CHECK(pauses.check(1s) == pause_verdict::none);
-    CHECK(pauses.check(2s) == pause_verdict::none);
-    CHECK(pauses.check(62s) == pause_verdict::refresh);
-    CHECK(pauses.check(62s) == pause_verdict::refresh);
-    pauses.refreshed();
-    CHECK(pauses.check(63s) == pause_verdict::none);
+    pause_detector detector;
+    CHECK(detector.check(1s) == pause_verdict::none);
+    CHECK(detector.check(2s) == pause_verdict::none);
+    CHECK(detector.check(62s) == pause_verdict::refresh_required);
+    CHECK(detector.check(62s) == pause_verdict::refresh_required);
+    detector.mark_refreshed();
+    CHECK(detector.check(63s) == pause_verdict::none);
 }
 
 TEST_CASE("the longest route on a segment border wins") {
--- a/trial/platform_client.cpp
+++ b/trial/platform_client.cpp
@@ -52,8 +52,8 @@
     vm.cores = static_cast<std::uint32_t>(object.number("cores", {0, 4096}));
     vm.memory_mb = static_cast<std::uint32_t>(object.number("memory_mb", {0, INT32_MAX}));
     vm.accelerators = static_cast<std::uint32_t>(object.number_or("accelerators", 0, {0, 4096}));
-    vm.boot = static_cast<std::uint64_t>(object.number("boot", {0, INT64_MAX}));
-    vm.state = value_named<listing>(object.text("state")).value_or(listing::live);
+    vm.boot_count = static_cast<std::uint64_t>(object.number("boot", {0, INT64_MAX}));
+    vm.state = value_named<listing_state>(object.text("state")).value_or(listing_state::live);
     return vm;
 }
 
