--- a/bench/load_bench.cpp
+++ b/bench/load_bench.cpp
@@ -45,7 +45,7 @@
         m_settings.peers = {"127.0.0.1", static_cast<std::uint16_t>(base + 2)};
         m_settings.peer_key = std::string(40, 'k');
         m_settings.routing = baseline ? routing_policy::round_robin : routing_policy::two_choices;
-        m_settings.admission = !baseline;
+        m_settings.admission_enabled = !baseline;
         m_settings.retry_percent = baseline ? 100 : 10;
         m_settings.max_requests = 1024;
     }
--- a/control/claim_task.hpp
+++ b/control/claim_task.hpp
@@ -10,7 +10,7 @@
 namespace siskinpaddle {
 
 /// Answer to a claim.
-enum class claim_answer : std::uint8_t { granted, taken, unavailable };
+enum class claim_answer : std::uint8_t { granted, already_claimed, unavailable };
 
 /// Takes claims on idempotency keys from the platform, many with one write. A claim is granted only when the
 /// platform holds it; without the platform nothing is granted.
@@ -30,11 +30,11 @@
     /// A number that no other attempt uses.
     [[nodiscard]] std::uint64_t make_nonce() { return m_random.next(); }
 
-    [[nodiscard]] std::size_t remembered() const;
+    [[nodiscard]] std::size_t line_count() const;
     [[nodiscard]] std::size_t pending_releases() const;
 
   private:
-    struct pending {
+    struct pending_claim {
         claim_key key;
         std::uint64_t nonce = 0;
         timestamp deadline{0};
@@ -42,23 +42,23 @@
     };
     struct shard {
         claim_shard log;
-        bool loaded = false;
-        bool busy = false;
-        timestamp next_write{0};
-        std::deque<pending> waiting;
+        bool is_loaded = false;
+        bool is_busy = false;
+        timestamp next_write_at{0};
+        std::deque<pending_claim> waiting_claims;
         std::vector<claim_entry> releases;
-        std::unique_ptr<timer> wake;
+        std::unique_ptr<timer> processing_timer;
     };
 
-    void pump(std::size_t index);
-    void load(std::size_t index);
-    void load_missing(std::size_t index);
-    void decide(std::size_t index);
-    void roll(std::size_t index);
-    void write(std::size_t index, const claim_log& next);
-    void written(std::size_t index, const claim_log& next, const store_answer& answer);
-    void fail_waiting(std::size_t index);
-    void pump_later(std::size_t index, milliseconds delay);
+    void process_shard(std::size_t index);
+    void load_open_log(std::size_t index);
+    void load_missing_generations(std::size_t index);
+    void resolve_claims(std::size_t index);
+    void start_next_generation(std::size_t index);
+    void write_log(std::size_t index, const claim_log& next);
+    void handle_write_answer(std::size_t index, const claim_log& next, const store_answer& answer);
+    void fail_waiting_claims(std::size_t index);
+    void schedule_processing(std::size_t index, milliseconds delay);
 
     event_loop& m_loop;
     platform_client& m_platform;
--- a/control/entry_settings.hpp
+++ b/control/entry_settings.hpp
@@ -23,10 +23,10 @@
     std::int64_t max_body_bytes = 1 << 20;
     std::int64_t max_connections = 4096;
     routing_policy routing = routing_policy::two_choices;
-    bool admission = true;
+    bool admission_enabled = true;
     std::int64_t retry_percent = 10;
     milliseconds heartbeat_interval = 1s;
-    milliseconds drain_bound = 5min;
+    milliseconds drain_timeout = 5min;
     event_level log_level = event_level::info;
 };
 
--- a/control/health_task.hpp
+++ b/control/health_task.hpp
@@ -19,24 +19,24 @@
     void start();
 
     /// Returning VMs that have passed their check since they entered that state.
-    [[nodiscard]] std::set<std::string> healthy() const;
+    [[nodiscard]] std::set<std::string> healthy_vms() const;
 
     /// VMs that this entry's own requests suspect; checked with the next tick.
-    void suspect(std::set<std::string> vms) { m_own_suspects = std::move(vms); }
+    void set_suspects(std::set<std::string> vms) { m_own_suspects = std::move(vms); }
 
   private:
     void tick();
-    void check(const vm_record& vm);
+    void check_vm(const vm_record& vm);
 
     const entry_settings& m_settings;
     state_task& m_state;
     std::function<void(const std::string&, bool)> m_on_result;
     http_client m_client;
     std::map<std::string, std::uint64_t>
-        m_passed; ///< Returning VM: the revision at which it began to return.
+        m_passed_revisions; ///< Returning VM: the revision at which it began to return.
     std::set<std::string> m_own_suspects;
-    std::set<std::string> m_checking;
-    std::map<std::string, timestamp> m_checked;
+    std::set<std::string> m_checks_in_flight;
+    std::map<std::string, timestamp> m_last_checks;
     std::unique_ptr<timer> m_timer;
 };
 
--- a/control/planner_task.hpp
+++ b/control/planner_task.hpp
@@ -10,7 +10,7 @@
 
 /// What the planner last decided, for operators.
 struct planner_summary {
-    bool in_control = false;
+    bool holds_control_lease = false;
     std::vector<plan_wait> waits;
     availability_map pools;
 };
@@ -33,16 +33,16 @@
   private:
     void tick();
     void renew_lease();
-    void read_list();
-    void plan();
-    void write(const fleet_plan& plan);
+    void read_vm_list();
+    void plan_fleet();
+    void write_plan(const fleet_plan& plan);
     void log_plan(const fleet_plan& plan);
-    void ask_reboots(const std::vector<reboot_action>& reboots);
+    void request_reboots(const std::vector<reboot_action>& reboots);
     void count_tasks();
-    void note_ended_tasks(timestamp now);
-    void place();
+    void record_ended_tasks(timestamp now);
+    void place_all_pools();
     void place_pool(const std::string& pool);
-    [[nodiscard]] std::map<std::string, job_size> team_use(const std::string& except_pool) const;
+    [[nodiscard]] std::map<std::string, job_size> compute_team_usage(const std::string& excluded_pool) const;
 
     const entry_settings& m_settings;
     platform_client& m_platform;
@@ -50,27 +50,27 @@
     metrics& m_metrics;
     planner m_planner;
     planner_summary m_summary;
-    observations m_seen;
-    worker_health_tracker m_workers;
+    observations m_observations;
+    worker_health_tracker m_worker_health;
     usage_estimates m_usage;
     std::map<std::string, std::uint32_t> m_ended_tasks;
-    std::map<std::string, std::pair<std::uint32_t, timestamp>> m_grace_since;
+    std::map<std::string, std::pair<std::uint32_t, timestamp>> m_lease_wait_starts;
     std::map<std::string, std::uint64_t> m_placed;
-    std::set<std::string> m_placing;
-    std::map<std::string, timestamp> m_reboots_asked;
-    timestamp m_lease_until{0};
-    timestamp m_next_renewal{0};
-    timestamp m_next_list{0};
-    byte_budget m_bytes;
+    std::set<std::string> m_pools_being_written;
+    std::map<std::string, timestamp> m_reboot_requests;
+    timestamp m_lease_expires_at{0};
+    timestamp m_next_renewal_at{0};
+    timestamp m_next_list_read_at{0};
+    byte_budget m_byte_budget;
     bool m_renewing = false;
-    bool m_listing = false;
+    bool m_reading_list = false;
     bool m_writing = false;
     bool m_stopped = false;
     std::unique_ptr<timer> m_timer;
 };
 
 /// How long a worker's lease on a task lasts after each call.
-inline constexpr milliseconds task_lease = 10s;
+inline constexpr milliseconds task_lease_duration = 10s;
 /// Added to a task lease before it has certainly run out: clocks that run apart, and a call that arrives
 /// late.
 inline constexpr milliseconds task_lease_margin = 5s;
--- a/control/registration_task.cpp
+++ b/control/registration_task.cpp
@@ -7,7 +7,7 @@
 constexpr milliseconds check_interval = 500ms;
 
 /// Decodes a stored fleet record; nothing when it is damaged. An absent value is an empty record.
-std::optional<fleet_record> read_fleet(const stored_value& current) {
+std::optional<fleet_record> decode_stored_fleet(const stored_value& current) {
     if (current.version == 0) {
         return fleet_record{};
     }
@@ -24,60 +24,60 @@
 registration_task::registration_task(event_loop& loop, const entry_settings& settings,
                                      platform_client& platform, state_task& state)
     : m_settings(settings), m_platform(platform), m_state(state),
-      m_timer(loop.make_timer([this] { check(); })) {}
+      m_timer(loop.make_timer([this] { check_registration(); })) {}
 
 void registration_task::start() {
-    check();
+    check_registration();
 }
 
-entry_record registration_task::own_record() const {
+entry_record registration_task::make_own_record() const {
     return {m_settings.id,         m_settings.availability_zone, m_settings.peers.address,
             m_settings.peers.port, m_settings.operators.address, m_settings.operators.port,
             m_state.incarnation()};
 }
 
-void registration_task::check() {
-    if (m_leaving) {
+void registration_task::check_registration() {
+    if (m_deregistering) {
         return;
     }
-    const bool registered = m_state.registered();
+    const bool registered = m_state.is_registered();
     if (m_was_registered && !registered) {
         log_event(event_id::registration_lost, {{"incarnation", m_state.incarnation()}});
     }
     m_was_registered = registered;
-    if (!registered && !m_busy) {
-        register_now();
+    if (!registered && !m_registering) {
+        register_entry();
     }
     m_timer->start(check_interval);
 }
 
-void registration_task::register_now() {
-    m_busy = true;
+void registration_task::register_entry() {
+    m_registering = true;
     const auto change = [this](const stored_value& current) -> std::optional<std::string> {
-        std::optional<fleet_record> fleet = read_fleet(current);
-        if (!fleet || m_leaving) {
+        std::optional<fleet_record> fleet = decode_stored_fleet(current);
+        if (!fleet || m_deregistering) {
             return std::nullopt;
         }
-        if (const entry_record* known = fleet->find_entry(m_settings.id)) {
-            if (*known == own_record()) {
+        if (const entry_record* existing = fleet->find_entry(m_settings.id)) {
+            if (*existing == make_own_record()) {
                 return std::nullopt; // An earlier write whose answer was lost.
             }
             // The port that it names is bound by this process now, so the process that stood there has ended.
-            m_state.raise_incarnation(known->incarnation);
+            m_state.raise_incarnation(existing->incarnation);
         }
-        fleet->put_entry(own_record());
+        fleet->put_entry(make_own_record());
         ++fleet->revision;
         fleet->write_id = m_settings.id + "-register-" + std::to_string(m_state.incarnation());
         return encode_fleet(*fleet);
     };
     m_platform.update(std::string(fleet_value), std::nullopt, change, [this](const store_answer& answer) {
-        m_busy = false;
+        m_registering = false;
         if (answer.status != store_status::ok) {
             log_event(event_id::registration_failed, {{"status", name_of(answer.status)}});
             return;
         }
-        m_state.adopt(std::string(fleet_value), answer.value);
-        if (m_state.registered()) {
+        m_state.apply_value(std::string(fleet_value), answer.value);
+        if (m_state.is_registered()) {
             log_event(event_id::registered,
                       {{"incarnation", m_state.incarnation()}, {"fleet", m_state.fleet().revision}});
         }
@@ -85,11 +85,11 @@
 }
 
 void registration_task::deregister(std::function<void(bool)> done) {
-    m_leaving = true;
+    m_deregistering = true;
     const auto change = [this](const stored_value& current) -> std::optional<std::string> {
-        std::optional<fleet_record> fleet = read_fleet(current);
-        const entry_record* known = fleet ? fleet->find_entry(m_settings.id) : nullptr;
-        if (known == nullptr || known->incarnation != m_state.incarnation()) {
+        std::optional<fleet_record> fleet = decode_stored_fleet(current);
+        const entry_record* existing = fleet ? fleet->find_entry(m_settings.id) : nullptr;
+        if (existing == nullptr || existing->incarnation != m_state.incarnation()) {
             return std::nullopt;
         }
         fleet->remove_entry(m_settings.id);
--- a/control/registration_task.hpp
+++ b/control/registration_task.hpp
@@ -20,16 +20,16 @@
     void deregister(std::function<void(bool)> done);
 
   private:
-    void check();
-    void register_now();
-    [[nodiscard]] entry_record own_record() const;
+    void check_registration();
+    void register_entry();
+    [[nodiscard]] entry_record make_own_record() const;
 
     const entry_settings& m_settings;
     platform_client& m_platform;
     state_task& m_state;
     std::unique_ptr<timer> m_timer;
-    bool m_busy = false;
-    bool m_leaving = false;
+    bool m_registering = false;
+    bool m_deregistering = false;
     bool m_was_registered = false;
 };
 
--- a/control/runner_task.cpp
+++ b/control/runner_task.cpp
@@ -8,7 +8,7 @@
 
 constexpr milliseconds sync_interval = 1s;
 
-std::optional<job_table> read_table(const stored_value& current) {
+std::optional<job_table> decode_stored_table(const stored_value& current) {
     if (current.version == 0) {
         return job_table{};
     }
@@ -20,7 +20,7 @@
         [] { return std::optional<job_table>(); });
 }
 
-task_result to_result(task_state state) {
+task_result to_task_result(task_state state) {
     switch (state) {
     case task_state::running:
         return task_result::running;
@@ -46,7 +46,7 @@
     m_timer->start(sync_interval);
 }
 
-task_call runner_task::call_for(const job_record& job, const vm_record& vm) {
+task_call runner_task::make_task_call(const job_record& job, const vm_record& vm) {
     task_call call{job.id, job.epoch, task_order::run, job.kind, job.expected_ms, job.size};
     if (job.state == job_state::stopping) {
         call.order = task_order::checkpoint_and_stop;
@@ -60,70 +60,70 @@
 }
 
 void runner_task::tick() {
-    const std::set<std::string> silent = m_state.silent();
+    const std::set<std::string> silent = m_state.find_silent_entries();
     for (const auto& [pool, settings] : m_state.config().pools) {
         std::map<std::string, std::vector<task_call>> calls;
         for (const job_record& job : m_state.values().jobs(pool).jobs) {
             const vm_record* vm = may_be_running(job.state) ? m_state.fleet().find_vm(job.vm) : nullptr;
             if (vm != nullptr && find_responsible_entry(m_state.fleet(), *vm, silent) == m_settings.id) {
-                calls[job.vm].push_back(call_for(job, *vm));
+                calls[job.vm].push_back(make_task_call(job, *vm));
             }
         }
         for (const auto& [id, tasks] : calls) {
-            sync(*m_state.fleet().find_vm(id), pool, tasks);
+            sync_vm(*m_state.fleet().find_vm(id), pool, tasks);
         }
     }
     m_timer->start(sync_interval);
 }
 
-void runner_task::sync(const vm_record& vm, const std::string& pool, const std::vector<task_call>& calls) {
-    if (!m_calling.insert(vm.id).second) {
+void runner_task::sync_vm(const vm_record& vm, const std::string& pool, const std::vector<task_call>& calls) {
+    if (!m_vms_being_called.insert(vm.id).second) {
         return;
     }
     m_metrics.increment("task_syncs");
-    m_workers.sync(
-        {vm.address, vm.agent_port}, calls, task_lease,
-        [this, id = vm.id, pool](exchange_status status, const worker_answer& answer) {
-            m_calling.erase(id);
-            if (status != exchange_status::answered) {
-                return;
-            }
-            for (const task_report& report : answer.tasks) {
-                m_news[pool].push_back({report.job, report.epoch, to_result(report.state), id, report.used});
-            }
-            enter(pool);
-        });
+    m_workers.sync({vm.address, vm.agent_port}, calls, task_lease_duration,
+                   [this, id = vm.id, pool](exchange_status status, const worker_answer& answer) {
+                       m_vms_being_called.erase(id);
+                       if (status != exchange_status::answered) {
+                           return;
+                       }
+                       for (const task_report& report : answer.tasks) {
+                           m_pending_updates[pool].push_back(
+                               {report.job, report.epoch, to_task_result(report.state), id, report.used});
+                       }
+                       store_updates(pool);
+                   });
 }
 
-void runner_task::enter(const std::string& pool) {
+void runner_task::store_updates(const std::string& pool) {
     // What the table says already is no news; most reports only say that a task still runs.
-    job_table known = m_state.values().jobs(pool);
-    if (!apply_task_updates(known, m_news[pool])) {
-        m_news[pool].clear();
+    job_table local_table = m_state.values().jobs(pool);
+    if (!apply_task_updates(local_table, m_pending_updates[pool])) {
+        m_pending_updates[pool].clear();
         return;
     }
-    if (!m_entering.insert(pool).second) {
+    if (!m_pools_being_written.insert(pool).second) {
         return;
     }
-    const std::vector<task_update> news = std::move(m_news[pool]);
-    m_news[pool].clear();
+    const std::vector<task_update> updates = std::move(m_pending_updates[pool]);
+    m_pending_updates[pool].clear();
     const std::string name = std::string(jobs_prefix) + pool;
-    const auto change = [news](const stored_value& current) -> std::optional<std::string> {
-        std::optional<job_table> table = read_table(current);
-        if (!table || !apply_task_updates(*table, news)) {
+    const auto change = [updates](const stored_value& current) -> std::optional<std::string> {
+        std::optional<job_table> table = decode_stored_table(current);
+        if (!table || !apply_task_updates(*table, updates)) {
             return std::nullopt;
         }
         return encode_jobs(*table);
     };
     const stored_value current{m_state.values().store_version(name),
                                encode_jobs(m_state.values().jobs(pool))};
-    m_platform.update(name, current, change, [this, pool, name, news](const store_answer& answer) {
-        m_entering.erase(pool);
+    m_platform.update(name, current, change, [this, pool, name, updates](const store_answer& answer) {
+        m_pools_being_written.erase(pool);
         if (answer.status != store_status::ok) {
             return; // The workers say it again with the next call.
         }
-        m_state.adopt(name, answer.value);
-        for (const task_update& item : news) {
+        m_state.apply_value(name, answer.value);
+        for (const task_update& item : updates) {
             if (item.result != task_result::running) {
                 log_event(event_id::task_reported, {{"pool", pool},
                                                     {"job", item.job},
--- a/control/runner_task.hpp
+++ b/control/runner_task.hpp
@@ -19,18 +19,18 @@
 
   private:
     void tick();
-    void sync(const vm_record& vm, const std::string& pool, const std::vector<task_call>& calls);
-    void enter(const std::string& pool);
-    [[nodiscard]] static task_call call_for(const job_record& job, const vm_record& vm);
+    void sync_vm(const vm_record& vm, const std::string& pool, const std::vector<task_call>& calls);
+    void store_updates(const std::string& pool);
+    [[nodiscard]] static task_call make_task_call(const job_record& job, const vm_record& vm);
 
     const entry_settings& m_settings;
     platform_client& m_platform;
     state_task& m_state;
     worker_client& m_workers;
     metrics& m_metrics;
-    std::set<std::string> m_calling;                        ///< VMs with a call under way.
-    std::map<std::string, std::vector<task_update>> m_news; ///< Per pool, not yet in the store.
-    std::set<std::string> m_entering;
+    std::set<std::string> m_vms_being_called;                          ///< VMs with a call under way.
+    std::map<std::string, std::vector<task_update>> m_pending_updates; ///< Per pool, not yet in the store.
+    std::set<std::string> m_pools_being_written;
     std::unique_ptr<timer> m_timer;
 };
 
--- a/control/state_task.cpp
+++ b/control/state_task.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr milliseconds watch_time = 30s;
-constexpr milliseconds first_backoff = 200ms;
-constexpr milliseconds longest_backoff = 5s;
+constexpr milliseconds watch_timeout = 30s;
+constexpr milliseconds min_backoff = 200ms;
+constexpr milliseconds max_backoff = 5s;
 
 entry_report to_report(const heartbeat& message, timestamp now) {
     entry_report report;
@@ -32,11 +32,11 @@
 state_task::state_task(event_loop& loop, const entry_settings& settings, platform_client& platform)
     : m_loop(loop), m_settings(settings), m_platform(platform),
       m_peers(loop, settings.peer_key,
-              {[this](const heartbeat& message) { hear(message); },
+              {[this](const heartbeat& message) { handle_heartbeat(message); },
                [this](const value_request& request) { return m_replica.build_reply(request); }}),
       m_random(hash64(settings.id) ^ std::random_device()()),
       m_incarnation(static_cast<std::uint64_t>(wall_clock_ms())),
-      m_ticker(loop.make_timer([this] { tick(); })) {}
+      m_heartbeat_timer(loop.make_timer([this] { tick(); })) {}
 
 bool state_task::listen() {
     return m_peers.listen(m_settings.peers);
@@ -51,58 +51,58 @@
     m_incarnation = std::max(m_incarnation, above + 1);
 }
 
-bool state_task::registered() const {
+bool state_task::is_registered() const {
     const entry_record* own = fleet().find_entry(m_settings.id);
     return own != nullptr && own->incarnation == m_incarnation;
 }
 
 void state_task::tick() {
-    ++m_tick;
-    beat(false);
-    keep_watches();
+    ++m_tick_count;
+    send_heartbeats(false);
+    start_missing_watches();
     // Jitter keeps the entries' beats from falling into step.
     const auto interval = static_cast<std::uint64_t>(m_settings.heartbeat_interval.count());
-    m_ticker->start(milliseconds(interval * 9 / 10 + m_random.next_below(interval / 5 + 1)));
+    m_heartbeat_timer->start(milliseconds(interval * 9 / 10 + m_random.next_below(interval / 5 + 1)));
 }
 
-heartbeat state_task::own_heartbeat() {
+heartbeat state_task::make_own_heartbeat() {
     heartbeat message;
     message.id = m_settings.id;
     message.availability_zone = m_settings.availability_zone;
     message.address = m_settings.peers.address;
     message.peer_port = m_settings.peers.port;
     message.incarnation = m_incarnation;
-    message.sequence = ++m_sequence;
-    message.ready = m_ready;
+    message.sequence = ++m_heartbeat_sequence;
+    message.ready = m_is_ready;
     message.revisions = m_replica.revisions();
-    for (const auto& fill : m_fill) {
-        fill(message);
+    for (const auto& filler : m_heartbeat_fillers) {
+        filler(message);
     }
     return message;
 }
 
-void state_task::beat(bool news) {
-    if (!registered()) {
+void state_task::send_heartbeats(bool value_changed) {
+    if (!is_registered()) {
         return;
     }
-    const heartbeat message = own_heartbeat();
-    std::vector<entry_record> peers = select_heartbeat_peers(fleet(), m_settings.id, m_tick);
-    if (news) {
+    const heartbeat message = make_own_heartbeat();
+    std::vector<entry_record> peers = select_heartbeat_peers(fleet(), m_settings.id, m_tick_count);
+    if (value_changed) {
         for (const entry_record& peer : select_peers_to_notify(fleet(), m_settings.id)) {
             peers.push_back(peer);
         }
     }
-    std::set<std::string> told;
+    std::set<std::string> sent_to;
     for (const entry_record& peer : peers) {
-        if (told.insert(peer.id).second) {
+        if (sent_to.insert(peer.id).second) {
             m_peers.send(message, {peer.address, peer.peer_port});
         }
     }
 }
 
-void state_task::hear(const heartbeat& message) {
+void state_task::handle_heartbeat(const heartbeat& message) {
     const timestamp now = event_loop::now();
-    m_heard[message.id] = now;
+    m_last_heartbeats[message.id] = now;
     m_reports[message.id] = to_report(message, now);
     if (m_replica.is_behind(message.revisions)) {
         pull_from({message.address, message.peer_port});
@@ -118,7 +118,7 @@
                  [this, done = std::move(done)](const std::optional<value_reply>& reply) {
                      m_pulling = false;
                      if (reply) {
-                         take(*reply);
+                         apply_reply(*reply);
                      }
                      if (done) {
                          done(reply.has_value());
@@ -126,23 +126,23 @@
                  });
 }
 
-void state_task::take(const value_reply& reply) {
+void state_task::apply_reply(const value_reply& reply) {
     for (const value_transfer& transfer : reply.values) {
         const apply_result result = m_replica.apply_transfer(transfer);
-        report_offer(transfer.name, result, transfer.revision);
+        handle_apply_result(transfer.name, result, transfer.revision);
     }
 }
 
-void state_task::adopt(const std::string& name, const stored_value& value) {
+void state_task::apply_value(const std::string& name, const stored_value& value) {
     const apply_result result = m_replica.apply_stored(name, value.bytes, value.version);
-    report_offer(name, result, value.version);
+    handle_apply_result(name, result, value.version);
 }
 
-void state_task::report_offer(const std::string& name, apply_result result, std::uint64_t revision) {
+void state_task::handle_apply_result(const std::string& name, apply_result result, std::uint64_t revision) {
     const bool is_config = name == config_value;
     switch (result) {
     case apply_result::applied:
-        changed(name);
+        handle_change(name);
         return;
     case apply_result::older:
         log_event(is_config ? event_id::config_older_refused : event_id::fleet_older_refused,
@@ -157,13 +157,13 @@
     }
 }
 
-void state_task::changed(const std::string& name) {
+void state_task::handle_change(const std::string& name) {
     log_event(name == config_value ? event_id::config_in_force : event_id::fleet_in_force,
               {{"value", name}, {"revision", m_replica.revision(name)}});
-    for (const auto& handler : m_handlers) {
+    for (const auto& handler : m_change_handlers) {
         handler(name);
     }
-    beat(true);
+    send_heartbeats(true);
 }
 
 std::vector<std::string> state_task::value_names() const {
@@ -174,61 +174,63 @@
     return names;
 }
 
-void state_task::keep_watches() {
-    if (!watches_store(fleet(), m_settings.id, silent())) {
+void state_task::start_missing_watches() {
+    if (!watches_store(fleet(), m_settings.id, find_silent_entries())) {
         return;
     }
     for (const std::string& name : value_names()) {
         watch_state& state = m_watches[name];
-        if (!state.waiting) {
-            state.waiting = true;
-            watch(name);
+        if (!state.is_active) {
+            state.is_active = true;
+            watch_value(name);
         }
     }
 }
 
-void state_task::watch(const std::string& name) {
-    m_platform.watch(name, m_replica.store_version(name), watch_time,
-                     [this, name](const store_answer& answer) { watch_ended(name, answer); });
+void state_task::watch_value(const std::string& name) {
+    m_platform.watch(name, m_replica.store_version(name), watch_timeout,
+                     [this, name](const store_answer& answer) { handle_watch_answer(name, answer); });
 }
 
-void state_task::watch_ended(const std::string& name, const store_answer& answer) {
+void state_task::handle_watch_answer(const std::string& name, const store_answer& answer) {
     watch_state& state = m_watches[name];
     const bool answered = answer.status == store_status::ok || answer.status == store_status::unchanged ||
                           answer.status == store_status::absent;
     if (answer.status == store_status::ok) {
-        adopt(name, answer.value);
+        apply_value(name, answer.value);
     }
-    if (answered && state.failures > 0) {
+    if (answered && state.consecutive_failures > 0) {
         log_event(event_id::platform_back, {{"value", name}});
-    } else if (!answered && state.failures == 0) {
+    } else if (!answered && state.consecutive_failures == 0) {
         log_event(event_id::platform_unreachable, {{"value", name}, {"status", name_of(answer.status)}});
     }
-    state.failures = answered ? 0 : state.failures + 1;
+    state.consecutive_failures = answered ? 0 : state.consecutive_failures + 1;
     // A full jitter spreads the watchers of all zones over the time in which a slow platform comes back.
-    const milliseconds bound = std::min(longest_backoff, first_backoff * (1 << std::min(state.failures, 5)));
-    const bool quick = answer.status == store_status::ok || answer.status == store_status::unchanged;
+    const milliseconds max_delay =
+        std::min(max_backoff, min_backoff * (1 << std::min(state.consecutive_failures, 5)));
+    const bool is_immediate = answer.status == store_status::ok || answer.status == store_status::unchanged;
     const milliseconds delay =
-        quick ? 1ms : milliseconds(1 + m_random.next_below(static_cast<std::uint64_t>(bound.count())));
-    state.again = m_loop.make_timer([this, name] {
+        is_immediate ? 1ms
+                     : milliseconds(1 + m_random.next_below(static_cast<std::uint64_t>(max_delay.count())));
+    state.retry_timer = m_loop.make_timer([this, name] {
         // Another entry of the zone may have taken over the watch meanwhile.
-        if (watches_store(fleet(), m_settings.id, silent())) {
-            watch(name);
+        if (watches_store(fleet(), m_settings.id, find_silent_entries())) {
+            watch_value(name);
         } else {
-            m_watches[name].waiting = false;
+            m_watches[name].is_active = false;
         }
     });
-    state.again->start(delay);
+    state.retry_timer->start(delay);
 }
 
 void state_task::refresh(const std::function<void(bool)>& done) {
     m_platform.get(std::string(config_value), [this, done](const store_answer& config) {
         if (config.status == store_status::ok) {
-            adopt(std::string(config_value), config.value);
+            apply_value(std::string(config_value), config.value);
         }
         m_platform.get(std::string(fleet_value), [this, done](const store_answer& answer) {
             if (answer.status == store_status::ok) {
-                adopt(std::string(fleet_value), answer.value);
+                apply_value(std::string(fleet_value), answer.value);
             }
             if (answer.status == store_status::ok || answer.status == store_status::absent) {
                 done(true);
@@ -250,16 +252,16 @@
 }
 
 const std::map<std::string, entry_report>& state_task::reports() {
-    m_reports[m_settings.id] = to_report(own_heartbeat(), event_loop::now());
+    m_reports[m_settings.id] = to_report(make_own_heartbeat(), event_loop::now());
     return m_reports;
 }
 
-std::set<std::string> state_task::silent() const {
-    return find_silent_peers(fleet(), m_heard, m_settings.id, event_loop::now());
+std::set<std::string> state_task::find_silent_entries() const {
+    return find_silent_peers(fleet(), m_last_heartbeats, m_settings.id, event_loop::now());
 }
 
-void state_task::probe_silent() {
-    for (const std::string& id : silent()) {
+void state_task::probe_silent_entries() {
+    for (const std::string& id : find_silent_entries()) {
         const entry_record* entry = fleet().find_entry(id);
         m_peers.probe({entry->address, entry->peer_port}, [this, record = *entry](bool refused) {
             entry_report& report = m_reports[record.id];
--- a/control/state_task.hpp
+++ b/control/state_task.hpp
@@ -26,18 +26,20 @@
     /// Called whenever a value came into force, with its name, before the revision is reported to anyone.
     /// Whatever a revision takes away has therefore ended here before the planner hears that it was applied.
     void on_change(std::function<void(const std::string&)> handler) {
-        m_handlers.push_back(std::move(handler));
+        m_change_handlers.push_back(std::move(handler));
     }
 
     /// Adds this entry's own report to each heartbeat.
-    void on_report(std::function<void(heartbeat&)> fill) { m_fill.push_back(std::move(fill)); }
+    void add_heartbeat_filler(std::function<void(heartbeat&)> filler) {
+        m_heartbeat_fillers.push_back(std::move(filler));
+    }
 
     [[nodiscard]] const replica& values() const noexcept { return m_replica; }
     [[nodiscard]] const configuration& config() const noexcept { return m_replica.config(); }
     [[nodiscard]] const fleet_record& fleet() const noexcept { return m_replica.fleet(); }
 
     /// Takes a value that this entry has just written or read.
-    void adopt(const std::string& name, const stored_value& value);
+    void apply_value(const std::string& name, const stored_value& value);
 
     /// Reads a value from the store now, or from a peer when the store doesn't answer. `done` is told whether
     /// anybody answered.
@@ -45,39 +47,39 @@
 
     /// Reports of all entries, this one's own included.
     [[nodiscard]] const std::map<std::string, entry_report>& reports();
-    [[nodiscard]] std::set<std::string> silent() const;
+    [[nodiscard]] std::set<std::string> find_silent_entries() const;
 
     /// Looks for the processes behind silent registrations; the result shows in reports().
-    void probe_silent();
+    void probe_silent_entries();
 
     [[nodiscard]] std::uint64_t incarnation() const noexcept { return m_incarnation; }
     /// Raises the incarnation above one that stands registered. Only before the first registration.
     void raise_incarnation(std::uint64_t above);
-    [[nodiscard]] bool registered() const;
-    void set_ready(bool ready) { m_ready = ready; }
-    void cut_peers(bool cut) { m_peers.set_partitioned(cut); }
+    [[nodiscard]] bool is_registered() const;
+    void set_ready(bool ready) { m_is_ready = ready; }
+    void set_partitioned(bool partitioned) { m_peers.set_partitioned(partitioned); }
 
     [[nodiscard]] const peer_usage& usage() const noexcept { return m_peers.usage(); }
     [[nodiscard]] std::uint64_t peer_bytes() const noexcept { return m_peers.bytes_sent(); }
 
   private:
     struct watch_state {
-        bool waiting = false;
-        int failures = 0;
-        std::unique_ptr<timer> again;
+        bool is_active = false;
+        int consecutive_failures = 0;
+        std::unique_ptr<timer> retry_timer;
     };
 
     void tick();
-    void beat(bool news);
-    [[nodiscard]] heartbeat own_heartbeat();
-    void hear(const heartbeat& message);
+    void send_heartbeats(bool value_changed);
+    [[nodiscard]] heartbeat make_own_heartbeat();
+    void handle_heartbeat(const heartbeat& message);
     void pull_from(const endpoint& peer, std::function<void(bool)> done = {});
-    void take(const value_reply& reply);
-    void report_offer(const std::string& name, apply_result result, std::uint64_t revision);
-    void changed(const std::string& name);
-    void keep_watches();
-    void watch(const std::string& name);
-    void watch_ended(const std::string& name, const store_answer& answer);
+    void apply_reply(const value_reply& reply);
+    void handle_apply_result(const std::string& name, apply_result result, std::uint64_t revision);
+    void handle_change(const std::string& name);
+    void start_missing_watches();
+    void watch_value(const std::string& name);
+    void handle_watch_answer(const std::string& name, const store_answer& answer);
     [[nodiscard]] std::vector<std::string> value_names() const;
 
     event_loop& m_loop;
@@ -87,16 +89,16 @@
     replica m_replica;
     random_source m_random;
     std::uint64_t m_incarnation;
-    std::uint64_t m_sequence = 0;
-    std::uint64_t m_tick = 0;
-    bool m_ready = false;
+    std::uint64_t m_heartbeat_sequence = 0;
+    std::uint64_t m_tick_count = 0;
+    bool m_is_ready = false;
     bool m_pulling = false;
-    std::map<std::string, timestamp> m_heard;
+    std::map<std::string, timestamp> m_last_heartbeats;
     std::map<std::string, entry_report> m_reports;
     std::map<std::string, watch_state> m_watches;
-    std::vector<std::function<void(const std::string&)>> m_handlers;
-    std::vector<std::function<void(heartbeat&)>> m_fill;
-    std::unique_ptr<timer> m_ticker;
+    std::vector<std::function<void(const std::string&)>> m_change_handlers;
+    std::vector<std::function<void(heartbeat&)>> m_heartbeat_fillers;
+    std::unique_ptr<timer> m_heartbeat_timer;
 };
 
 } // namespace siskinpaddle
--- a/gateway/caller_gateway.cpp
+++ b/gateway/caller_gateway.cpp
@@ -30,10 +30,10 @@
       m_server(loop, server_limits(settings),
                [this](std::shared_ptr<server_request> from) { receive(std::move(from)); }),
       m_client(loop, client_limits(settings)), m_targets(settings.availability_zone, settings.routing),
-      m_admission(settings.max_requests, settings.admission), m_random(std::random_device()()),
+      m_admission(settings.max_requests, settings.admission_enabled), m_random(std::random_device()()),
       m_next_id(m_random.next() >> 16U << 16U), m_timer(loop.make_timer([this] { tick(); })) {
     m_state.on_change([this](const std::string&) { apply_values(); });
-    m_state.on_report([this](heartbeat& message) {
+    m_state.add_heartbeat_filler([this](heartbeat& message) {
         message.busy_vms = m_targets.busy_vms();
         message.suspect_vms = m_targets.suspect_vms();
     });
@@ -53,7 +53,7 @@
 }
 
 bool caller_gateway::ready() const {
-    return !m_draining && m_state.registered() && m_state.config().number > 0;
+    return !m_draining && m_state.is_registered() && m_state.config().number > 0;
 }
 
 void caller_gateway::on_health(const std::string& vm, bool good) {
@@ -82,7 +82,7 @@
         log_event(event_id::process_paused);
         m_state.refresh([this](bool answered) {
             m_refreshing = false;
-            if (answered && m_state.registered()) {
+            if (answered && m_state.is_registered()) {
                 m_pauses.mark_refreshed();
             }
         });
@@ -106,7 +106,7 @@
     headers.add("Content-Type", "application/json");
     const bool good = ready();
     const boost::json::object body{{"ready", good},
-                                   {"registered", m_state.registered()},
+                                   {"registered", m_state.is_registered()},
                                    {"draining", m_draining},
                                    {"config", m_state.config().number},
                                    {"fleet", m_state.fleet().revision}};
@@ -235,9 +235,10 @@
                 return;
             }
             m_targets.on_finished(claimed.target->vm, attempt_result::refused_by_target, event_loop::now());
-            log_event(event_id::claim_refused, {{"request", id}, {"taken", answer == claim_answer::taken}});
-            give_up(id, answer == claim_answer::taken ? answer_code::already_claimed
-                                                      : answer_code::claims_unavailable);
+            log_event(event_id::claim_refused,
+                      {{"request", id}, {"taken", answer == claim_answer::already_claimed}});
+            give_up(id, answer == claim_answer::already_claimed ? answer_code::already_claimed
+                                                                : answer_code::claims_unavailable);
         });
 }
 
--- a/gateway/operator_gateway.cpp
+++ b/gateway/operator_gateway.cpp
@@ -201,7 +201,7 @@
                                               : "the platform can't be reached; nothing was changed");
                               return;
                           }
-                          m_state.adopt(std::string(config_value), answer.value);
+                          m_state.apply_value(std::string(config_value), answer.value);
                           answer_patch(from, member, *result);
                       });
 }
@@ -220,7 +220,7 @@
 
 bool operator_gateway::pass_to_planner(const request_ptr& from) {
     const entry_record* planner = m_state.fleet().find_entry(m_state.fleet().planner);
-    if (m_planner.summary().in_control || planner == nullptr || planner->id == m_settings.id ||
+    if (m_planner.summary().holds_control_lease || planner == nullptr || planner->id == m_settings.id ||
         from->headers().has(passed_on_header)) {
         return false;
     }
@@ -339,7 +339,7 @@
                               return;
                           }
                           if (answer.value.version > 0) {
-                              m_state.adopt(name, answer.value);
+                              m_state.apply_value(name, answer.value);
                           }
                           done(*table);
                       });
--- a/gateway/operator_reports.cpp
+++ b/gateway/operator_reports.cpp
@@ -96,7 +96,7 @@
 boost::json::object status_json(const entry_settings& settings, state_task& state,
                                 const planner_summary& summary, bool platform_reachable) {
     boost::json::array entries;
-    const std::set<std::string> silent = state.silent();
+    const std::set<std::string> silent = state.find_silent_entries();
     const auto& reports = state.reports();
     for (const entry_record& entry : state.fleet().entries) {
         const auto found = reports.find(entry.id);
@@ -114,7 +114,7 @@
     }
     return {{"entry", settings.id},
             {"planner", state.fleet().planner},
-            {"in_control", summary.in_control},
+            {"in_control", summary.holds_control_lease},
             {"platform_reachable", platform_reachable},
             {"config", state.config().number},
             {"fleet", state.fleet().revision},
--- a/main/entry.cpp
+++ b/main/entry.cpp
@@ -27,7 +27,8 @@
       m_health(loop, settings, m_state,
                [this](const std::string& vm, bool good) { m_callers.on_health(vm, good); }),
       m_timer(loop.make_timer([this] { tick(); })) {
-    m_state.on_report([this](heartbeat& message) { message.healthy_vms = m_health.healthy(); });
+    m_state.add_heartbeat_filler(
+        [this](heartbeat& message) { message.healthy_vms = m_health.healthy_vms(); });
 }
 
 findings entry::listen() {
@@ -59,7 +60,7 @@
 
 void entry::tick() {
     flush_event_log();
-    m_health.suspect(m_callers.targets().suspect_vms());
+    m_health.set_suspects(m_callers.targets().suspect_vms());
     const bool ready = m_callers.ready();
     m_state.set_ready(ready);
     if (ready != m_was_ready && !m_draining) {
@@ -94,7 +95,7 @@
     if (!m_callers.idle()) {
         m_idle_since = now;
     }
-    const bool overdue = now - m_drain_since >= m_settings.drain_bound;
+    const bool overdue = now - m_drain_since >= m_settings.drain_timeout;
     if (m_deregistering || (now - std::max(m_idle_since, m_drain_since) < quiet_time && !overdue)) {
         return;
     }
--- a/main/entry.hpp
+++ b/main/entry.hpp
@@ -23,7 +23,7 @@
     void drain(std::function<void()> stopped);
 
     /// Drops all traffic with peers while `cut` is set, as a partition would. For tests and drills.
-    void cut_peers(bool cut) { m_state.cut_peers(cut); }
+    void cut_peers(bool cut) { m_state.set_partitioned(cut); }
 
   private:
     void tick();
