--- a/gateway/caller_gateway.hpp
+++ b/gateway/caller_gateway.hpp
@@ -22,19 +22,19 @@
 
     /// Takes no new requests; those in progress go on.
     void drain();
-    [[nodiscard]] bool idle() const { return m_requests.empty() && m_server.requests_in_progress() == 0; }
-    [[nodiscard]] bool ready() const;
+    [[nodiscard]] bool is_idle() const { return m_requests.empty() && m_server.requests_in_progress() == 0; }
+    [[nodiscard]] bool is_ready() const;
 
-    void on_health(const std::string& vm, bool good);
+    void on_health_check(const std::string& vm, bool passed);
     [[nodiscard]] const target_table& targets() const noexcept { return m_targets; }
 
   private:
-    void apply_values();
-    void receive(std::shared_ptr<server_request> from);
-    void answer_health(server_request& from) const;
-    [[nodiscard]] bool answer_unready(server_request& from);
+    void apply_config_and_fleet();
+    void handle_request(std::shared_ptr<server_request> incoming);
+    void reply_health(server_request& incoming) const;
+    [[nodiscard]] bool reject_if_not_ready(server_request& incoming);
     void admit(caller_request request);
-    void pump(const std::string& pool);
+    void dispatch_waiting(const std::string& pool);
     void tick();
 
     void dispatch(std::uint64_t id);
@@ -44,11 +44,11 @@
     void retry(caller_request& request, attempt_result result);
 
     void deliver(caller_request& request, const http_answer& answer);
-    void give_up(std::uint64_t id, answer_code code, int retry_after_s = 0);
-    void finish(std::uint64_t id, milliseconds service_time);
-    void reply_own(server_request& from, answer_code code, int retry_after_s, std::uint64_t id);
-    [[nodiscard]] pool_load load_of(const std::string& pool) const;
-    [[nodiscard]] bool paused();
+    void fail_request(std::uint64_t id, answer_code code, int retry_after_s = 0);
+    void finish_request(std::uint64_t id, milliseconds service_time);
+    void reply_from_entry(server_request& incoming, answer_code code, int retry_after_s, std::uint64_t id);
+    [[nodiscard]] pool_load make_pool_load(const std::string& pool) const;
+    [[nodiscard]] bool check_for_pause();
 
     event_loop& m_loop;
     const entry_settings& m_settings;
@@ -59,7 +59,7 @@
     http_client m_client;
     target_table m_targets;
     admission_controller m_admission;
-    pause_detector m_pauses;
+    pause_detector m_pause_detector;
     random_source m_random;
     std::map<std::string, retry_budget> m_budgets;
     std::map<std::uint64_t, caller_request> m_requests;
--- a/gateway/caller_request.cpp
+++ b/gateway/caller_request.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::size_t longest_key = 255;
-constexpr std::int64_t longest_deadline_ms = 600'000;
+constexpr std::size_t max_key_length = 255;
+constexpr std::int64_t max_deadline_ms = 600'000;
 
 std::optional<std::int64_t> parse_number(std::string_view text) {
     std::int64_t value = 0;
@@ -41,12 +41,12 @@
     const http_headers& headers = request.headers();
     if (headers.has(deadline_header)) {
         const auto value = parse_number(headers.get(deadline_header));
-        if (!value || *value < 1 || *value > longest_deadline_ms) {
+        if (!value || *value < 1 || *value > max_deadline_ms) {
             problems.add(deadline_header, "must be a whole number from 1 to 600000");
         }
     }
     const std::string_view key = headers.get(idempotency_header);
-    if (headers.has(idempotency_header) && (key.empty() || key.size() > longest_key)) {
+    if (headers.has(idempotency_header) && (key.empty() || key.size() > max_key_length)) {
         problems.add(idempotency_header, "must have 1 to 255 characters");
     }
     if (request.target().empty() || request.target().front() != '/') {
@@ -55,20 +55,20 @@
     return problems;
 }
 
-milliseconds time_allowed(const server_request& request, const route_settings& route) {
+milliseconds resolve_timeout(const server_request& request, const route_settings& route) {
     const auto value = parse_number(request.headers().get(deadline_header));
     return value ? milliseconds(*value) : route.timeout;
 }
 
-http_call to_target_call(const caller_request& request, const target_choice& target, timestamp now) {
+http_call make_target_call(const caller_request& request, const target_choice& target, timestamp now) {
     http_call call;
     call.to = {target.address, target.port};
-    call.method = request.from->method();
-    call.target = request.from->target();
+    call.method = request.incoming->method();
+    call.target = request.incoming->target();
     call.timeout = request.deadline - now;
     call.fresh_connection = !request.repeatable;
-    call.body = request.from->body();
-    for (const auto& [name, value] : request.from->headers().fields()) {
+    call.body = request.incoming->body();
+    for (const auto& [name, value] : request.incoming->headers().fields()) {
         const bool replaced = equals_ignoring_case(name, deadline_header) ||
                               equals_ignoring_case(name, request_id_header) ||
                               equals_ignoring_case(name, "Content-Length");
--- a/gateway/caller_request.hpp
+++ b/gateway/caller_request.hpp
@@ -21,11 +21,11 @@
 /// One caller's request from arrival to final answer.
 struct caller_request {
     std::uint64_t id = 0;
-    std::shared_ptr<server_request> from;
+    std::shared_ptr<server_request> incoming;
     std::string pool;
     std::string member;
     bool repeatable = false;
-    timestamp arrived{0};
+    timestamp arrived_at{0};
     timestamp deadline{0};
 
     std::optional<claim_key> key;
@@ -33,8 +33,8 @@
     bool claimed = false;
 
     int attempts = 0;
-    bool sent_before = false; ///< An earlier attempt may have run it.
-    std::set<std::string> tried;
+    bool may_have_run = false; ///< An earlier attempt may have run it.
+    std::set<std::string> tried_vms;
     std::optional<target_choice> target;
     timestamp sent_at{0};
 };
@@ -46,11 +46,11 @@
 [[nodiscard]] findings check_request(const server_request& request);
 
 /// The deadline that a caller set, or the route's.
-[[nodiscard]] milliseconds time_allowed(const server_request& request, const route_settings& route);
+[[nodiscard]] milliseconds resolve_timeout(const server_request& request, const route_settings& route);
 
 /// The request as it goes to a target.
-[[nodiscard]] http_call to_target_call(const caller_request& request, const target_choice& target,
-                                       timestamp now);
+[[nodiscard]] http_call make_target_call(const caller_request& request, const target_choice& target,
+                                         timestamp now);
 
 /// How a target's exchange counts.
 [[nodiscard]] attempt_result to_attempt_result(const http_answer& answer);
--- a/gateway/operator_gateway.cpp
+++ b/gateway/operator_gateway.cpp
@@ -6,21 +6,21 @@
 
 namespace {
 
-constexpr const char* passed_on_header = "Siskinpaddle-Passed-On";
+constexpr const char* forwarded_header = "Siskinpaddle-Passed-On";
 
-void reply_json(server_request& from, int code, const boost::json::value& body) {
+void reply_json(server_request& request, int code, const boost::json::value& body) {
     http_headers headers;
     headers.add("Content-Type", "application/json");
-    from.reply(code, headers, boost::json::serialize(body));
+    request.reply(code, headers, boost::json::serialize(body));
 }
 
-void reply_error(server_request& from, int code, std::string_view error, const findings& problems = {}) {
-    reply_json(from, code, boost::json::object{{"error", error}, {"findings", findings_json(problems)}});
+void reply_error(server_request& request, int code, std::string_view error, const findings& problems = {}) {
+    reply_json(request, code, boost::json::object{{"error", error}, {"findings", findings_json(problems)}});
 }
 
-std::vector<std::string> path_parts(const server_request& from) {
+std::vector<std::string> split_path(const server_request& request) {
     std::vector<std::string> parts;
-    std::string_view path = path_of_target(from.target());
+    std::string_view path = path_of_target(request.target());
     while (!path.empty()) {
         path.remove_prefix(1);
         const std::string_view part = path.substr(0, path.find('/'));
@@ -33,10 +33,10 @@
 } // namespace
 
 operator_gateway::operator_gateway(event_loop& loop, const entry_settings& settings,
-                                   platform_client& platform, state_task& state, planner_task& planning,
+                                   platform_client& platform, state_task& state, planner_task& planner,
                                    metrics& counters)
-    : m_settings(settings), m_platform(platform), m_state(state), m_planner(planning), m_metrics(counters),
-      m_server(loop, {}, [this](const request_ptr& from) { receive(from); }), m_client(loop) {}
+    : m_settings(settings), m_platform(platform), m_state(state), m_planner(planner), m_metrics(counters),
+      m_server(loop, {}, [this](const request_ptr& request) { handle_request(request); }), m_client(loop) {}
 
 bool operator_gateway::listen() {
     return m_server.listen(m_settings.operators);
@@ -59,9 +59,9 @@
     return table;
 }
 
-std::string operator_gateway::member_of(const server_request& from) const {
+std::string operator_gateway::authenticate(const server_request& request) const {
     constexpr std::string_view scheme = "Bearer ";
-    const std::string_view field = from.headers().get("Authorization");
+    const std::string_view field = request.headers().get("Authorization");
     if (!field.starts_with(scheme)) {
         return {};
     }
@@ -75,8 +75,8 @@
     return found;
 }
 
-void operator_gateway::receive(const request_ptr& from) {
-    const std::string path(path_of_target(from->target()));
+void operator_gateway::handle_request(const request_ptr& request) {
+    const std::string path(path_of_target(request->target()));
     if (path == "/metrics") {
         m_metrics.set("platform_reads", m_platform.usage().reads);
         m_metrics.set("platform_writes", m_platform.usage().writes);
@@ -87,32 +87,34 @@
         m_metrics.set("peer_heartbeats", m_state.usage().heartbeats_sent);
         m_metrics.set("peer_pulls", m_state.usage().pulls);
         m_metrics.set("peer_refused", m_state.usage().refused);
-        from->reply(200, {}, m_metrics.to_text());
+        request->reply(200, {}, m_metrics.to_text());
         return;
     }
     if (path == "/health") {
-        reply_json(*from, 200, {{"entry", m_settings.id}});
+        reply_json(*request, 200, {{"entry", m_settings.id}});
         return;
     }
-    const std::string member = member_of(*from);
+    const std::string member = authenticate(*request);
     if (member.empty()) {
-        log_event(event_id::operator_refused, {{"from", from->peer()}, {"path", path}});
-        reply_error(*from, m_state.config().number == 0 ? 503 : 401, "no valid credential");
+        log_event(event_id::operator_refused, {{"from", request->peer()}, {"path", path}});
+        reply_error(*request, m_state.config().number == 0 ? 503 : 401, "no valid credential");
         return;
     }
     for (const route& item : routes()) {
-        const bool prefix = item.path.back() == '/';
-        if (from->method() == item.method && (prefix ? path.starts_with(item.path) : path == item.path)) {
-            (this->*item.handle)(from, member);
+        const bool is_prefix = item.path.back() == '/';
+        if (request->method() == item.method &&
+            (is_prefix ? path.starts_with(item.path) : path == item.path)) {
+            (this->*item.handler)(request, member);
             return;
         }
     }
-    reply_error(*from, 404, "no such resource");
+    reply_error(*request, 404, "no such resource");
 }
 
-bool operator_gateway::read_patch(const request_ptr& from, const std::string& member, patch_request& patch) {
+bool operator_gateway::parse_patch(const request_ptr& request, const std::string& member,
+                                   patch_request& patch) {
     findings problems;
-    const boost::json::value body = parse_json(from->body(), "", problems);
+    const boost::json::value body = parse_json(request->body(), "", problems);
     if (problems.empty()) {
         json_object root(body, "", problems);
         patch.member = member;
@@ -129,14 +131,14 @@
         root.reject_unknown();
     }
     if (!problems.empty()) {
-        reply_error(*from, 400, "bad patch request", problems);
+        reply_error(*request, 400, "bad patch request", problems);
         return false;
     }
     return true;
 }
 
-void operator_gateway::answer_patch(const request_ptr& from, const std::string& member,
-                                    const patch_result& result) {
+void operator_gateway::reply_patch_result(const request_ptr& request, const std::string& member,
+                                          const patch_result& result) {
     struct verdict_status {
         patch_verdict verdict;
         int status;
@@ -154,23 +156,23 @@
     log_event(status == 200 ? event_id::patch_accepted : event_id::patch_refused,
               {{"member", member}, {"verdict", name_of(result.verdict)}, {"number", result.number}});
     boost::json::array paths(result.changed_paths.begin(), result.changed_paths.end());
-    reply_json(*from, status,
+    reply_json(*request, status,
                boost::json::object{{"verdict", name_of(result.verdict)},
                                    {"number", result.number},
                                    {"changed_paths", std::move(paths)},
                                    {"findings", findings_json(result.problems)}});
 }
 
-void operator_gateway::check_patch(const request_ptr& from, const std::string& member) {
+void operator_gateway::check_patch(const request_ptr& request, const std::string& member) {
     patch_request patch;
-    if (read_patch(from, member, patch)) {
-        answer_patch(from, member, apply_patch(m_state.values().stored_config(), patch));
+    if (parse_patch(request, member, patch)) {
+        reply_patch_result(request, member, apply_patch(m_state.values().stored_config(), patch));
     }
 }
 
-void operator_gateway::submit_patch(const request_ptr& from, const std::string& member) {
+void operator_gateway::submit_patch(const request_ptr& request, const std::string& member) {
     patch_request patch;
-    if (!read_patch(from, member, patch)) {
+    if (!parse_patch(request, member, patch)) {
         return;
     }
     // The verdict is made inside the swap, on the value that the store holds then. After a lost answer the
@@ -179,11 +181,11 @@
     const auto change = [patch, result](const stored_value& current) -> std::optional<std::string> {
         findings problems;
         const stored_configuration stored = decode_stored_configuration(current.bytes, problems);
-        const patch_verdict before = result->verdict;
-        const std::uint64_t number = result->number;
+        const patch_verdict previous_verdict = result->verdict;
+        const std::uint64_t previous_number = result->number;
         *result = apply_patch(stored, patch);
-        if (before == patch_verdict::accepted && result->verdict == patch_verdict::already_accepted &&
-            result->number == number) {
+        if (previous_verdict == patch_verdict::accepted &&
+            result->verdict == patch_verdict::already_accepted && result->number == previous_number) {
             result->verdict = patch_verdict::accepted;
         }
         if (result->verdict != patch_verdict::accepted || result->next.number == 0) {
@@ -192,113 +194,116 @@
         return encode_stored_configuration(result->next);
     };
     m_platform.update(std::string(config_value), std::nullopt, change,
-                      [this, from, member, result](const store_answer& answer) {
+                      [this, request, member, result](const store_answer& answer) {
                           if (answer.status != store_status::ok) {
                               const bool unknown = answer.status == store_status::unknown;
-                              reply_error(*from, unknown ? 504 : 503,
+                              reply_error(*request, unknown ? 504 : 503,
                                           unknown
                                               ? "the platform's answer is lost; submit the same patch again"
                                               : "the platform can't be reached; nothing was changed");
                               return;
                           }
                           m_state.apply_value(std::string(config_value), answer.value);
-                          answer_patch(from, member, *result);
+                          reply_patch_result(request, member, *result);
                       });
 }
 
-void operator_gateway::show_config(const request_ptr& from, const std::string&) {
-    const std::string wanted = query_parameter(from->target(), "number");
-    const std::uint64_t number =
-        wanted.empty() ? m_state.config().number : std::strtoull(wanted.c_str(), nullptr, 10);
+void operator_gateway::show_config(const request_ptr& request, const std::string&) {
+    const std::string requested_number = query_parameter(request->target(), "number");
+    const std::uint64_t number = requested_number.empty()
+                                     ? m_state.config().number
+                                     : std::strtoull(requested_number.c_str(), nullptr, 10);
     const boost::json::value* document = m_state.values().find_document(number);
     if (document == nullptr) {
-        reply_error(*from, 404, "this entry does not remember that number");
+        reply_error(*request, 404, "this entry does not remember that number");
         return;
     }
-    reply_json(*from, 200, boost::json::object{{"number", number}, {"document", *document}});
+    reply_json(*request, 200, boost::json::object{{"number", number}, {"document", *document}});
 }
 
-bool operator_gateway::pass_to_planner(const request_ptr& from) {
+bool operator_gateway::forward_to_planner(const request_ptr& request) {
     const entry_record* planner = m_state.fleet().find_entry(m_state.fleet().planner);
     if (m_planner.summary().holds_control_lease || planner == nullptr || planner->id == m_settings.id ||
-        from->headers().has(passed_on_header)) {
+        request->headers().has(forwarded_header)) {
         return false;
     }
     http_call call;
     call.to = {planner->operator_address, planner->operator_port};
-    call.target = from->target();
-    call.headers.add("Authorization", std::string(from->headers().get("Authorization")));
-    call.headers.add(passed_on_header, m_settings.id);
-    m_client.send(std::move(call), [this, from](const http_answer& answer) {
+    call.target = request->target();
+    call.headers.add("Authorization", std::string(request->headers().get("Authorization")));
+    call.headers.add(forwarded_header, m_settings.id);
+    m_client.send(std::move(call), [this, request](const http_answer& answer) {
         if (answer.status == exchange_status::answered) {
             http_headers headers;
             headers.add("Content-Type", "application/json");
-            from->reply(answer.code, headers, answer.body);
+            request->reply(answer.code, headers, answer.body);
             return;
         }
-        reply_json(*from, 200, status_json(m_settings, m_state, m_planner.summary(), m_platform.reachable()));
+        reply_json(*request, 200,
+                   status_json(m_settings, m_state, m_planner.summary(), m_platform.reachable()));
     });
     return true;
 }
 
-void operator_gateway::show_status(const request_ptr& from, const std::string&) {
-    if (!pass_to_planner(from)) {
-        reply_json(*from, 200, status_json(m_settings, m_state, m_planner.summary(), m_platform.reachable()));
+void operator_gateway::show_status(const request_ptr& request, const std::string&) {
+    if (!forward_to_planner(request)) {
+        reply_json(*request, 200,
+                   status_json(m_settings, m_state, m_planner.summary(), m_platform.reachable()));
     }
 }
 
-void operator_gateway::show_pools(const request_ptr& from, const std::string&) {
-    if (!pass_to_planner(from)) {
-        reply_json(*from, 200,
+void operator_gateway::show_pools(const request_ptr& request, const std::string&) {
+    if (!forward_to_planner(request)) {
+        reply_json(*request, 200,
                    boost::json::object{{"pools", pools_json(m_state.config(), m_planner.summary().pools)}});
     }
 }
 
-void operator_gateway::show_vms(const request_ptr& from, const std::string&) {
+void operator_gateway::show_vms(const request_ptr& request, const std::string&) {
     reply_json(
-        *from, 200,
-        boost::json::object{{"vms", vms_json(m_state.fleet(), query_parameter(from->target(), "pool"))}});
+        *request, 200,
+        boost::json::object{{"vms", vms_json(m_state.fleet(), query_parameter(request->target(), "pool"))}});
 }
 
-void operator_gateway::show_waves(const request_ptr& from, const std::string&) {
-    if (!pass_to_planner(from)) {
-        reply_json(*from, 200,
+void operator_gateway::show_waves(const request_ptr& request, const std::string&) {
+    if (!forward_to_planner(request)) {
+        reply_json(*request, 200,
                    boost::json::object{
                        {"waves", waves_json(m_state.config(), m_state.fleet(), m_planner.summary().waits)}});
     }
 }
 
-bool operator_gateway::owns_pool(const std::string& member, const std::string& pool) const {
+bool operator_gateway::can_manage_pool(const std::string& member, const std::string& pool) const {
     const auto found = m_state.config().pools.find(pool);
     return found != m_state.config().pools.end() &&
            (found->second.member == member || m_state.config().members.at(member).admin);
 }
 
-void operator_gateway::list_jobs(const request_ptr& from, const std::string& member) {
+void operator_gateway::list_jobs(const request_ptr& request, const std::string& member) {
     boost::json::array items;
     for (const auto& [pool, settings] : m_state.config().pools) {
-        if (!owns_pool(member, pool)) {
+        if (!can_manage_pool(member, pool)) {
             continue;
         }
         for (const job_record& job : m_state.values().jobs(pool).jobs) {
             items.push_back(job_json(job, pool));
         }
     }
-    reply_json(*from, 200, boost::json::object{{"jobs", std::move(items)}});
+    reply_json(*request, 200, boost::json::object{{"jobs", std::move(items)}});
 }
 
-void operator_gateway::show_job(const request_ptr& from, const std::string& member) {
-    const std::vector<std::string> parts = path_parts(*from);
-    const bool named = parts.size() == 4 && owns_pool(member, parts[2]);
-    const job_record* job = named ? m_state.values().jobs(parts[2]).find(parts[3]) : nullptr;
+void operator_gateway::show_job(const request_ptr& request, const std::string& member) {
+    const std::vector<std::string> parts = split_path(*request);
+    const bool is_accessible = parts.size() == 4 && can_manage_pool(member, parts[2]);
+    const job_record* job = is_accessible ? m_state.values().jobs(parts[2]).find(parts[3]) : nullptr;
     if (job == nullptr) {
-        reply_error(*from, 404, "no such job");
+        reply_error(*request, 404, "no such job");
         return;
     }
-    reply_json(*from, 200, job_json(*job, parts[2]));
+    reply_json(*request, 200, job_json(*job, parts[2]));
 }
 
-void operator_gateway::update_jobs(const request_ptr& from, const std::string& pool,
+void operator_gateway::update_jobs(const request_ptr& request, const std::string& pool,
                                    std::function<bool(job_table&, std::string&)> change,
                                    std::function<void(const job_table&)> done) {
     auto refusal = std::make_shared<std::string>();
@@ -307,14 +312,14 @@
                          table](const stored_value& current) -> std::optional<std::string> {
         *table = {};
         refusal->clear();
-        const bool read =
+        const bool decoded =
             current.version == 0 || boost::leaf::try_handle_all(
                                         [&]() -> boost::leaf::result<bool> {
                                             BOOST_LEAF_ASSIGN(*table, decode_jobs(current.bytes));
                                             return true;
                                         },
                                         [] { return false; });
-        if (!read) {
+        if (!decoded) {
             *refusal = "the stored job table is damaged";
             return std::nullopt;
         }
@@ -326,28 +331,29 @@
         return encode_jobs(*table);
     };
     const std::string name = std::string(jobs_prefix) + pool;
-    m_platform.update(name, std::nullopt, mutate,
-                      [this, from, name, refusal, table, done = std::move(done)](const store_answer& answer) {
-                          if (answer.status != store_status::ok) {
-                              reply_error(*from, answer.status == store_status::unknown ? 504 : 503,
-                                          "the platform did not answer; submit the same job again");
-                              return;
-                          }
-                          if (!refusal->empty()) {
-                              log_event(event_id::job_refused, {{"value", name}, {"reason", *refusal}});
-                              reply_error(*from, 409, *refusal);
-                              return;
-                          }
-                          if (answer.value.version > 0) {
-                              m_state.apply_value(name, answer.value);
-                          }
-                          done(*table);
-                      });
+    m_platform.update(
+        name, std::nullopt, mutate,
+        [this, request, name, refusal, table, done = std::move(done)](const store_answer& answer) {
+            if (answer.status != store_status::ok) {
+                reply_error(*request, answer.status == store_status::unknown ? 504 : 503,
+                            "the platform did not answer; submit the same job again");
+                return;
+            }
+            if (!refusal->empty()) {
+                log_event(event_id::job_refused, {{"value", name}, {"reason", *refusal}});
+                reply_error(*request, 409, *refusal);
+                return;
+            }
+            if (answer.value.version > 0) {
+                m_state.apply_value(name, answer.value);
+            }
+            done(*table);
+        });
 }
 
-void operator_gateway::submit_job(const request_ptr& from, const std::string& member) {
+void operator_gateway::submit_job(const request_ptr& request, const std::string& member) {
     findings problems;
-    const boost::json::value body = parse_json(from->body(), "", problems);
+    const boost::json::value body = parse_json(request->body(), "", problems);
     json_object root(body, "", problems);
     job_record job;
     const std::string pool = root.text("pool");
@@ -371,18 +377,18 @@
         problems.add("/team", "names no team: '" + job.team + "'");
     }
     if (!problems.empty()) {
-        reply_error(*from, 400, "bad job", problems);
+        reply_error(*request, 400, "bad job", problems);
         return;
     }
-    if (!owns_pool(member, pool) ||
+    if (!can_manage_pool(member, pool) ||
         (team->second.member != member && !m_state.config().members.at(member).admin)) {
         log_event(event_id::operator_refused, {{"member", member}, {"pool", pool}});
-        reply_error(*from, 403, "the pool or the team is not yours");
+        reply_error(*request, 403, "the pool or the team is not yours");
         return;
     }
     job.urgency = *urgency;
     update_jobs(
-        from, pool,
+        request, pool,
         [job](job_table& table, std::string& refusal) {
             if (const job_record* known = table.find(job.id)) {
                 const bool same =
@@ -397,22 +403,22 @@
             table.jobs.push_back(job);
             return true;
         },
-        [from, pool, id = job.id](const job_table& table) {
+        [request, pool, id = job.id](const job_table& table) {
             log_event(event_id::job_accepted, {{"pool", pool}, {"job", id}});
-            reply_json(*from, 200, job_json(*table.find(id), pool));
+            reply_json(*request, 200, job_json(*table.find(id), pool));
         });
 }
 
-void operator_gateway::cancel_job(const request_ptr& from, const std::string& member) {
-    const std::vector<std::string> parts = path_parts(*from);
-    if (parts.size() != 4 || !owns_pool(member, parts[2])) {
-        reply_error(*from, 404, "no such job");
+void operator_gateway::cancel_job(const request_ptr& request, const std::string& member) {
+    const std::vector<std::string> parts = split_path(*request);
+    if (parts.size() != 4 || !can_manage_pool(member, parts[2])) {
+        reply_error(*request, 404, "no such job");
         return;
     }
     const std::string& pool = parts[2];
     const std::string& id = parts[3];
     update_jobs(
-        from, pool,
+        request, pool,
         [id](job_table& table, std::string& refusal) {
             job_record* job = table.find(id);
             if (job == nullptr) {
@@ -426,8 +432,8 @@
             job->reason = "cancelled by its owner";
             return true;
         },
-        [from, pool, id](const job_table& table) {
-            reply_json(*from, 200, job_json(*table.find(id), pool));
+        [request, pool, id](const job_table& table) {
+            reply_json(*request, 200, job_json(*table.find(id), pool));
         });
 }
 
--- a/gateway/operator_gateway.hpp
+++ b/gateway/operator_gateway.hpp
@@ -13,7 +13,7 @@
 class operator_gateway {
   public:
     operator_gateway(event_loop& loop, const entry_settings& settings, platform_client& platform,
-                     state_task& state, planner_task& planning, metrics& counters);
+                     state_task& state, planner_task& planner, metrics& counters);
 
     /// Returns false when the address can't be bound.
     [[nodiscard]] bool listen();
@@ -25,30 +25,32 @@
     struct route {
         std::string_view method;
         std::string_view path; ///< Ends with '/' where more may follow.
-        action handle;
+        action handler;
     };
     static const std::vector<route>& routes();
 
-    void receive(const request_ptr& from);
-    [[nodiscard]] std::string member_of(const server_request& from) const;
+    void handle_request(const request_ptr& request);
+    [[nodiscard]] std::string authenticate(const server_request& request) const;
 
-    void submit_patch(const request_ptr& from, const std::string& member);
-    void check_patch(const request_ptr& from, const std::string& member);
-    void show_config(const request_ptr& from, const std::string& member);
-    void show_status(const request_ptr& from, const std::string& member);
-    void show_pools(const request_ptr& from, const std::string& member);
-    void show_vms(const request_ptr& from, const std::string& member);
-    void show_waves(const request_ptr& from, const std::string& member);
-    void list_jobs(const request_ptr& from, const std::string& member);
-    void show_job(const request_ptr& from, const std::string& member);
-    void submit_job(const request_ptr& from, const std::string& member);
-    void cancel_job(const request_ptr& from, const std::string& member);
+    void submit_patch(const request_ptr& request, const std::string& member);
+    void check_patch(const request_ptr& request, const std::string& member);
+    void show_config(const request_ptr& request, const std::string& member);
+    void show_status(const request_ptr& request, const std::string& member);
+    void show_pools(const request_ptr& request, const std::string& member);
+    void show_vms(const request_ptr& request, const std::string& member);
+    void show_waves(const request_ptr& request, const std::string& member);
+    void list_jobs(const request_ptr& request, const std::string& member);
+    void show_job(const request_ptr& request, const std::string& member);
+    void submit_job(const request_ptr& request, const std::string& member);
+    void cancel_job(const request_ptr& request, const std::string& member);
 
-    [[nodiscard]] bool pass_to_planner(const request_ptr& from);
-    void answer_patch(const request_ptr& from, const std::string& member, const patch_result& result);
-    [[nodiscard]] bool read_patch(const request_ptr& from, const std::string& member, patch_request& patch);
-    [[nodiscard]] bool owns_pool(const std::string& member, const std::string& pool) const;
-    void update_jobs(const request_ptr& from, const std::string& pool,
+    [[nodiscard]] bool forward_to_planner(const request_ptr& request);
+    void reply_patch_result(const request_ptr& request, const std::string& member,
+                            const patch_result& result);
+    [[nodiscard]] bool parse_patch(const request_ptr& request, const std::string& member,
+                                   patch_request& patch);
+    [[nodiscard]] bool can_manage_pool(const std::string& member, const std::string& pool) const;
+    void update_jobs(const request_ptr& request, const std::string& pool,
                      std::function<bool(job_table&, std::string& refusal)> change,
                      std::function<void(const job_table&)> done);
 
--- a/gateway/operator_reports.cpp
+++ b/gateway/operator_reports.cpp
@@ -63,17 +63,17 @@
     boost::json::array items;
     for (const auto& [name, wave] : config.waves) {
         std::int64_t done = 0;
-        std::int64_t out = 0;
-        std::int64_t left = 0;
+        std::int64_t in_progress = 0;
+        std::int64_t pending = 0;
         const auto order = static_cast<std::uint64_t>(wave.order);
         for (const vm_record& vm : fleet.vms) {
             if (wave.pool != "*" && vm.pool != wave.pool) {
                 continue;
             }
-            const bool under_way = vm.active_wave == order;
-            out += under_way ? 1 : 0;
+            const bool is_in_progress = vm.active_wave == order;
+            in_progress += is_in_progress ? 1 : 0;
             done += vm.completed_wave >= order ? 1 : 0;
-            left += vm.completed_wave < order && !under_way ? 1 : 0;
+            pending += vm.completed_wave < order && !is_in_progress ? 1 : 0;
         }
         boost::json::array reasons;
         for (const plan_wait& wait : waits) {
@@ -85,8 +85,8 @@
                          {"pool", wave.pool},
                          {"order", wave.order},
                          {"done", done},
-                         {"out", out},
-                         {"left", left},
+                         {"out", in_progress},
+                         {"left", pending},
                          {"paused", wave.paused},
                          {"waits", std::move(reasons)}});
     }
--- a/main/entry.cpp
+++ b/main/entry.cpp
@@ -9,9 +9,9 @@
 constexpr milliseconds tick_interval = 100ms;
 /// How long the entry must have been idle before it leaves: a caller may be sending on a kept connection just
 /// now.
-constexpr milliseconds quiet_time = 300ms;
+constexpr milliseconds min_idle_time = 300ms;
 /// Bound on leaving the fleet record; without the platform the refused port proves the end instead.
-constexpr milliseconds deregister_bound = 5s;
+constexpr milliseconds deregister_timeout = 5s;
 
 } // namespace
 
@@ -22,10 +22,10 @@
       m_registration(loop, settings, m_platform, m_state),
       m_planner(loop, settings, m_platform, m_state, m_metrics),
       m_runner(loop, settings, m_platform, m_state, m_workers, m_metrics),
-      m_callers(loop, settings, m_state, m_claims, m_metrics),
-      m_operators(loop, settings, m_platform, m_state, m_planner, m_metrics),
+      m_caller_gateway(loop, settings, m_state, m_claims, m_metrics),
+      m_operator_gateway(loop, settings, m_platform, m_state, m_planner, m_metrics),
       m_health(loop, settings, m_state,
-               [this](const std::string& vm, bool good) { m_callers.on_health(vm, good); }),
+               [this](const std::string& vm, bool passed) { m_caller_gateway.on_health_check(vm, passed); }),
       m_timer(loop.make_timer([this] { tick(); })) {
     m_state.add_heartbeat_filler(
         [this](heartbeat& message) { message.healthy_vms = m_health.healthy_vms(); });
@@ -36,10 +36,10 @@
     if (!m_state.listen()) {
         problems.add("/peers", "can't bind " + m_settings.peers.to_string());
     }
-    if (!m_callers.listen()) {
+    if (!m_caller_gateway.listen()) {
         problems.add("/callers", "can't bind " + m_settings.callers.to_string());
     }
-    if (!m_operators.listen()) {
+    if (!m_operator_gateway.listen()) {
         problems.add("/operators", "can't bind " + m_settings.operators.to_string());
     }
     return problems;
@@ -53,15 +53,15 @@
     m_registration.start();
     m_planner.start();
     m_runner.start();
-    m_callers.start();
+    m_caller_gateway.start();
     m_health.start();
     tick();
 }
 
 void entry::tick() {
     flush_event_log();
-    m_health.set_suspects(m_callers.targets().suspect_vms());
-    const bool ready = m_callers.ready();
+    m_health.set_suspects(m_caller_gateway.targets().suspect_vms());
+    const bool ready = m_caller_gateway.is_ready();
     m_state.set_ready(ready);
     if (ready != m_was_ready && !m_draining) {
         log_event(ready ? event_id::entry_ready : event_id::entry_not_ready,
@@ -78,35 +78,35 @@
     m_timer->start(tick_interval);
 }
 
-void entry::drain(std::function<void()> stopped) {
+void entry::drain(std::function<void()> on_stopped) {
     if (m_draining) {
         return;
     }
     m_draining = true;
-    m_stopped = std::move(stopped);
-    m_drain_since = event_loop::now();
+    m_on_stopped = std::move(on_stopped);
+    m_drain_started_at = event_loop::now();
     log_event(event_id::entry_draining);
-    m_callers.drain();
+    m_caller_gateway.drain();
     m_planner.stop();
 }
 
 void entry::finish_drain() {
     const timestamp now = event_loop::now();
-    if (!m_callers.idle()) {
+    if (!m_caller_gateway.is_idle()) {
         m_idle_since = now;
     }
-    const bool overdue = now - m_drain_since >= m_settings.drain_timeout;
-    if (m_deregistering || (now - std::max(m_idle_since, m_drain_since) < quiet_time && !overdue)) {
+    const bool overdue = now - m_drain_started_at >= m_settings.drain_timeout;
+    if (m_deregistering || (now - std::max(m_idle_since, m_drain_started_at) < min_idle_time && !overdue)) {
         return;
     }
     m_deregistering = true;
     const auto stop = [this] {
         log_event(event_id::entry_stopped);
-        m_stopped();
+        m_on_stopped();
     };
     m_registration.deregister([stop](bool) { stop(); });
     m_timer = m_loop.make_timer(stop);
-    m_timer->start(deregister_bound);
+    m_timer->start(deregister_timeout);
 }
 
 } // namespace siskinpaddle
--- a/main/entry.hpp
+++ b/main/entry.hpp
@@ -20,10 +20,10 @@
 
     /// Stops gracefully: takes no new requests, sees those in progress to their end, leaves the fleet record,
     /// then calls `stopped`.
-    void drain(std::function<void()> stopped);
+    void drain(std::function<void()> on_stopped);
 
     /// Drops all traffic with peers while `cut` is set, as a partition would. For tests and drills.
-    void cut_peers(bool cut) { m_state.set_partitioned(cut); }
+    void set_partitioned(bool partitioned) { m_state.set_partitioned(partitioned); }
 
   private:
     void tick();
@@ -39,13 +39,13 @@
     registration_task m_registration;
     planner_task m_planner;
     runner_task m_runner;
-    caller_gateway m_callers;
-    operator_gateway m_operators;
+    caller_gateway m_caller_gateway;
+    operator_gateway m_operator_gateway;
     health_task m_health;
     std::unique_ptr<timer> m_timer;
-    timestamp m_drain_since{0};
+    timestamp m_drain_started_at{0};
     timestamp m_idle_since{0};
-    std::function<void()> m_stopped;
+    std::function<void()> m_on_stopped;
     std::uint64_t m_refused_messages = 0;
     bool m_draining = false;
     bool m_deregistering = false;
--- a/main/siskinctl.cpp
+++ b/main/siskinctl.cpp
@@ -15,7 +15,7 @@
 
 /// Exit codes, documented in docs/OPERATIONS.md.
 enum exit_code : int {
-    exit_good = 0,
+    exit_success = 0,
     exit_usage = 1,
     exit_conflict = 3,
     exit_refused = 4,
@@ -30,7 +30,7 @@
     std::string pool;
     std::string against;
     std::string write_id;
-    std::vector<std::string> words;
+    std::vector<std::string> arguments;
 };
 
 struct reply {
@@ -39,17 +39,17 @@
     boost::json::value body;
 };
 
-reply ask(const options& given, const std::string& method, const std::string& target,
-          const std::string& body) {
+reply send_request(const options& opts, const std::string& method, const std::string& target,
+                   const std::string& body) {
     event_loop loop;
     http_client client(loop);
     http_call call;
-    call.to = given.entry;
+    call.to = opts.entry;
     call.method = method;
     call.target = target;
     call.body = body;
     call.timeout = 15s;
-    call.headers.add("Authorization", "Bearer " + given.credential);
+    call.headers.add("Authorization", "Bearer " + opts.credential);
     reply result;
     client.send(std::move(call), [&](const http_answer& answer) {
         result.status = answer.status;
@@ -72,7 +72,7 @@
     if (result.code == 409) {
         return exit_conflict;
     }
-    return result.code < 300 ? exit_good : exit_refused;
+    return result.code < 300 ? exit_success : exit_refused;
 }
 
 void print_failure(const reply& result) {
@@ -103,23 +103,23 @@
 }
 
 /// Prints the answer: whole with --json, else the array at `rows` as a table.
-int show(const options& given, const reply& result, const char* rows) {
-    if (const int code = exit_code_for(result); code != exit_good) {
-        if (given.json) {
+int print_reply(const options& opts, const reply& result, const char* rows_key) {
+    if (const int code = exit_code_for(result); code != exit_success) {
+        if (opts.json) {
             std::cout << boost::json::serialize(result.body) << "\n";
         }
         print_failure(result);
         return code;
     }
-    if (given.json) {
+    if (opts.json) {
         std::cout << boost::json::serialize(result.body) << "\n";
-        return exit_good;
+        return exit_success;
     }
     print_fields(std::cout, result.body);
-    if (rows != nullptr) {
-        print_table(std::cout, result.body.at(rows).as_array());
+    if (rows_key != nullptr) {
+        print_table(std::cout, result.body.at(rows_key).as_array());
     }
-    return exit_good;
+    return exit_success;
 }
 
 std::string random_write_id() {
@@ -127,59 +127,59 @@
     return to_hex((std::uint64_t{device()} << 32U) | device());
 }
 
-int submit_patch(const options& given, bool only_check) {
-    if (given.words.size() != 3 || given.against.empty()) {
+int submit_patch(const options& opts, bool only_check) {
+    if (opts.arguments.size() != 3 || opts.against.empty()) {
         std::cerr << "siskinctl: patch submit|check FILE --against N\n";
         return exit_usage;
     }
-    std::ifstream file(given.words[2], std::ios::binary);
+    std::ifstream file(opts.arguments[2], std::ios::binary);
     std::ostringstream text;
     text << file.rdbuf();
     findings problems;
-    const boost::json::value patch = parse_json(text.str(), given.words[2], problems);
+    const boost::json::value patch = parse_json(text.str(), opts.arguments[2], problems);
     if (!file || !problems.empty()) {
-        std::cerr << (file ? problems.to_string() : given.words[2] + ": can't be read\n");
+        std::cerr << (file ? problems.to_string() : opts.arguments[2] + ": can't be read\n");
         return exit_usage;
     }
-    const std::string write_id = given.write_id.empty() ? random_write_id() : given.write_id;
-    const boost::json::object body{{"against", std::strtoll(given.against.c_str(), nullptr, 10)},
+    const std::string write_id = opts.write_id.empty() ? random_write_id() : opts.write_id;
+    const boost::json::object body{{"against", std::strtoll(opts.against.c_str(), nullptr, 10)},
                                    {"write_id", write_id},
                                    {"patch", patch}};
-    const reply result =
-        ask(given, "POST", only_check ? "/v1/patches/check" : "/v1/patches", boost::json::serialize(body));
-    const int code = show(given, result, nullptr);
+    const reply result = send_request(opts, "POST", only_check ? "/v1/patches/check" : "/v1/patches",
+                                      boost::json::serialize(body));
+    const int code = print_reply(opts, result, nullptr);
     if (code == exit_unknown) {
         std::cerr << "siskinctl: it may be in force; ask again with --write-id " << write_id << "\n";
     }
     return code;
 }
 
-int run(const options& given) {
-    const std::string command = given.words.empty() ? "" : given.words[0];
-    const std::string verb = given.words.size() > 1 ? given.words[1] : "";
-    if (command == "patch" && (verb == "submit" || verb == "check")) {
-        return submit_patch(given, verb == "check");
-    }
-    if (command == "config" && verb == "show") {
-        const std::string query = given.words.size() > 2 ? "?number=" + given.words[2] : "";
-        const reply result = ask(given, "GET", "/v1/config" + query, "");
-        if (exit_code_for(result) == exit_good && !given.json) {
+int run_command(const options& opts) {
+    const std::string command = opts.arguments.empty() ? "" : opts.arguments[0];
+    const std::string subcommand = opts.arguments.size() > 1 ? opts.arguments[1] : "";
+    if (command == "patch" && (subcommand == "submit" || subcommand == "check")) {
+        return submit_patch(opts, subcommand == "check");
+    }
+    if (command == "config" && subcommand == "show") {
+        const std::string query = opts.arguments.size() > 2 ? "?number=" + opts.arguments[2] : "";
+        const reply result = send_request(opts, "GET", "/v1/config" + query, "");
+        if (exit_code_for(result) == exit_success && !opts.json) {
             std::cout << boost::json::serialize(result.body) << "\n";
-            return exit_good;
+            return exit_success;
         }
-        return show(given, result, nullptr);
+        return print_reply(opts, result, nullptr);
     }
-    const std::map<std::string, const char*> lists{
+    const std::map<std::string, const char*> list_keys{
         {"pools", "pools"}, {"vms", "vms"}, {"waves", "waves"}, {"jobs", "jobs"}, {"status", "entries"}};
-    const auto list = lists.find(command);
-    if (list == lists.end()) {
+    const auto list = list_keys.find(command);
+    if (list == list_keys.end()) {
         std::cerr << "siskinctl: unknown command '" << command << "'; see --help\n";
         return exit_usage;
     }
-    const std::string query = command == "vms" && !given.pool.empty() ? "?pool=" + given.pool : "";
-    const reply result = ask(given, "GET", "/v1/" + command + query, "");
-    const int code = show(given, result, list->second);
-    if (code == exit_good && command == "status" && !given.json) {
+    const std::string query = command == "vms" && !opts.pool.empty() ? "?pool=" + opts.pool : "";
+    const reply result = send_request(opts, "GET", "/v1/" + command + query, "");
+    const int code = print_reply(opts, result, list->second);
+    if (code == exit_success && command == "status" && !opts.json) {
         print_table(std::cout, result.body.at("waits").as_array());
     }
     return code;
@@ -189,32 +189,33 @@
 
 int main(int argc, char** argv) {
     try {
-        TCLAP::CmdLine line(
+        TCLAP::CmdLine command_line(
             "Operators' tool of siskinpaddle. Commands: patch submit FILE --against N, patch check FILE "
             "--against N, config show [N], status, pools, vms [--pool P], waves, jobs. The credential "
             "is read from the environment variable SISKIN_CREDENTIAL. Exit codes: 0 good, 1 usage, "
             "3 conflict, 4 refused, 5 unreachable, 6 outcome unknown.",
             ' ', SISKINPADDLE_VERSION);
         TCLAP::ValueArg<std::string> address("a", "address", "IP number of an entry.", false, "127.0.0.1",
-                                             "IP", line);
-        TCLAP::ValueArg<int> port("p", "port", "Operators' port of the entry.", true, 0, "PORT", line);
+                                             "IP", command_line);
+        TCLAP::ValueArg<int> port("p", "port", "Operators' port of the entry.", true, 0, "PORT",
+                                  command_line);
         TCLAP::ValueArg<std::string> against("", "against", "Configuration number of the patch.", false, "",
-                                             "N", line);
-        TCLAP::ValueArg<std::string> pool("", "pool", "Only this pool.", false, "", "POOL", line);
+                                             "N", command_line);
+        TCLAP::ValueArg<std::string> pool("", "pool", "Only this pool.", false, "", "POOL", command_line);
         TCLAP::ValueArg<std::string> write_id("", "write-id", "Id of an earlier submission.", false, "", "ID",
-                                              line);
-        TCLAP::SwitchArg json("", "json", "Print JSON.", line);
-        TCLAP::UnlabeledMultiArg<std::string> words("command", "Command and its arguments.", true, "COMMAND",
-                                                    line);
-        line.parse(argc, argv);
+                                              command_line);
+        TCLAP::SwitchArg json("", "json", "Print JSON.", command_line);
+        TCLAP::UnlabeledMultiArg<std::string> arguments("command", "Command and its arguments.", true,
+                                                        "COMMAND", command_line);
+        command_line.parse(argc, argv);
         const char* credential = std::getenv("SISKIN_CREDENTIAL");
-        return run({{address.getValue(), static_cast<std::uint16_t>(port.getValue())},
-                    credential == nullptr ? "" : credential,
-                    json.getValue(),
-                    pool.getValue(),
-                    against.getValue(),
-                    write_id.getValue(),
-                    words.getValue()});
+        return run_command({{address.getValue(), static_cast<std::uint16_t>(port.getValue())},
+                            credential == nullptr ? "" : credential,
+                            json.getValue(),
+                            pool.getValue(),
+                            against.getValue(),
+                            write_id.getValue(),
+                            arguments.getValue()});
     } catch (const std::exception& error) {
         std::cerr << "siskinctl: " << error.what() << "\n";
         return exit_usage;
--- a/main/siskinpaddled.cpp
+++ b/main/siskinpaddled.cpp
@@ -28,13 +28,14 @@
 
 int main(int argc, char** argv) {
     try {
-        TCLAP::CmdLine line(
+        TCLAP::CmdLine command_line(
             "Entry process of siskinpaddle: serves callers and operators, and plans when it holds the "
             "control lease. Exit codes: 0 good, 1 failed, 2 bad settings.",
             ' ', SISKINPADDLE_VERSION);
-        TCLAP::ValueArg<std::string> config("c", "config", "Settings file (JSON).", true, "", "FILE", line);
-        TCLAP::SwitchArg check("", "check", "Only check the settings and print every finding.", line);
-        line.parse(argc, argv);
+        TCLAP::ValueArg<std::string> config("c", "config", "Settings file (JSON).", true, "", "FILE",
+                                            command_line);
+        TCLAP::SwitchArg check("", "check", "Only check the settings and print every finding.", command_line);
+        command_line.parse(argc, argv);
         const auto settings = load_settings(config.getValue(), parse_entry_settings, std::cerr);
         if (!settings) {
             return exit_invalid_settings;
--- a/tests/doors/door_test.cpp
+++ b/tests/doors/malformed_input_test.cpp
@@ -16,24 +16,24 @@
 
 namespace {
 
-constexpr int mutations = 3000;
+constexpr int mutation_count = 3000;
 
 /// A changed copy: bytes flipped, cut, doubled or replaced by ones that parsers stumble over.
-std::string mutated(std::string text, random_source& random) {
-    static const std::vector<std::string> spices{std::string(1, '\0'),
-                                                 "\xff\xff\xff\xff\xff\xff\xff\xff",
-                                                 "{",
-                                                 "}",
-                                                 "[[[[[[[[[[[[[[[[[[[[[[",
-                                                 "\"",
-                                                 "-1",
-                                                 "1e999",
-                                                 "null",
-                                                 "99999999999999999999",
-                                                 "\xc3\x28",
-                                                 "\r\n\r\n",
-                                                 "Content-Length: -5\r\n",
-                                                 "Transfer-Encoding: chunked\r\n"};
+std::string mutate(std::string text, random_source& random) {
+    static const std::vector<std::string> hostile_fragments{std::string(1, '\0'),
+                                                            "\xff\xff\xff\xff\xff\xff\xff\xff",
+                                                            "{",
+                                                            "}",
+                                                            "[[[[[[[[[[[[[[[[[[[[[[",
+                                                            "\"",
+                                                            "-1",
+                                                            "1e999",
+                                                            "null",
+                                                            "99999999999999999999",
+                                                            "\xc3\x28",
+                                                            "\r\n\r\n",
+                                                            "Content-Length: -5\r\n",
+                                                            "Transfer-Encoding: chunked\r\n"};
     const std::uint64_t changes = 1 + random.next_below(4);
     for (std::uint64_t i = 0; i < changes && !text.empty(); ++i) {
         const std::size_t at = random.next_below(text.size());
@@ -48,7 +48,7 @@
             text.insert(at, text.substr(at, random.next_below(40)));
             break;
         case 3:
-            text.insert(at, spices[random.next_below(spices.size())]);
+            text.insert(at, hostile_fragments[random.next_below(hostile_fragments.size())]);
             break;
         default:
             text.erase(at, random.next_below(20));
@@ -64,7 +64,7 @@
     "peer_key":"a shared key of at least thirty-two characters","routing":"two-choices","seed_peers":[{"address":
     "127.0.0.1","port":5}]})";
 
-std::string document_text() {
+std::string stored_config_text() {
     const std::string digits(64, '0');
     return R"({"number":3,"document":{"members":{"m":{"credential_sha256":")" + digits +
            R"(","admin":true}},"pools":{"p":{"member":"m","promised":1,"size":2}},"services":{"s":{"pool":"p"}},
@@ -77,9 +77,9 @@
 TEST_CASE("mutated settings are refused with findings or are good settings") {
     random_source random(11);
     int refused = 0;
-    for (int i = 0; i < mutations; ++i) {
+    for (int i = 0; i < mutation_count; ++i) {
         findings problems;
-        const boost::json::value document = parse_json(mutated(settings_text, random), "", problems);
+        const boost::json::value document = parse_json(mutate(settings_text, random), "", problems);
         if (problems.empty()) {
             const entry_settings settings = parse_entry_settings(document, problems);
             if (problems.empty()) {
@@ -90,19 +90,19 @@
         }
         refused += problems.empty() ? 0 : 1;
     }
-    CHECK(refused > mutations / 2);
+    CHECK(refused > mutation_count / 2);
 }
 
 TEST_CASE("mutated configurations and patches never become nonsense in force") {
     random_source random(12);
-    findings none;
-    const stored_configuration good = decode_stored_configuration(document_text(), none);
-    REQUIRE(none.empty());
+    findings no_problems;
+    const stored_configuration valid_config = decode_stored_configuration(stored_config_text(), no_problems);
+    REQUIRE(no_problems.empty());
     int refused = 0;
-    for (int i = 0; i < mutations; ++i) {
+    for (int i = 0; i < mutation_count; ++i) {
         findings problems;
         const stored_configuration stored =
-            decode_stored_configuration(mutated(document_text(), random), problems);
+            decode_stored_configuration(mutate(stored_config_text(), random), problems);
         const configuration config = parse_configuration(stored.number, stored.document, problems);
         if (problems.empty()) {
             for (const auto& [name, pool] : config.pools) {
@@ -116,28 +116,28 @@
         refused += problems.empty() ? 0 : 1;
         findings syntax;
         const boost::json::value merge = parse_json(
-            mutated(R"({"pools":{"p":{"promised":1,"size":3}},"waves":{"w":null}})", random), "", syntax);
+            mutate(R"({"pools":{"p":{"promised":1,"size":3}},"waves":{"w":null}})", random), "", syntax);
         if (syntax.empty()) {
-            const patch_result result = apply_patch(good, {"m", 3, "w", merge});
+            const patch_result result = apply_patch(valid_config, {"m", 3, "w", merge});
             REQUIRE((result.verdict == patch_verdict::accepted) == (result.next.number == 4));
         }
     }
-    CHECK(refused > mutations / 2);
+    CHECK(refused > mutation_count / 2);
 }
 
 TEST_CASE("mutated peer messages and values are dropped, sealed or not") {
     random_source random(13);
     const std::string key = "a shared key of at least thirty-two characters";
-    fleet_builder b;
-    b.entry("e1").entry("e2", "b").vm("w1", "p").vm("w2", "q");
-    heartbeat beat;
-    beat.id = "e1";
-    beat.revisions = {{"config", 3}, {"fleet", 9}};
-    beat.busy_vms = {"w1"};
-    const std::string body = encode_archive(beat);
-    const std::string fleet = encode_fleet(b.fleet);
+    fleet_builder builder;
+    builder.entry("e1").entry("e2", "b").vm("w1", "p").vm("w2", "q");
+    heartbeat valid_heartbeat;
+    valid_heartbeat.id = "e1";
+    valid_heartbeat.revisions = {{"config", 3}, {"fleet", 9}};
+    valid_heartbeat.busy_vms = {"w1"};
+    const std::string body = encode_archive(valid_heartbeat);
+    const std::string fleet_bytes = encode_fleet(builder.fleet);
     replica values;
-    REQUIRE(values.apply_stored("fleet", fleet, 1) == apply_result::applied);
+    REQUIRE(values.apply_stored("fleet", fleet_bytes, 1) == apply_result::applied);
     const auto read_heartbeat = [](std::string_view bytes) {
         return boost::leaf::try_handle_all(
             [&]() -> boost::leaf::result<bool> {
@@ -147,23 +147,22 @@
             },
             [] { return false; });
     };
-    for (int i = 0; i < mutations; ++i) {
+    for (int i = 0; i < mutation_count; ++i) {
         REQUIRE_FALSE(unseal(key, message_kind::heartbeat,
-                             mutated(seal(key, message_kind::heartbeat, body), random) + "x")
+                             mutate(seal(key, message_kind::heartbeat, body), random) + "x")
                           .has_value());
         // A peer with the key but a broken encoder: nothing may crash, whatever is decoded.
-        (void)read_heartbeat(mutated(body, random));
-        const std::string changed = mutated(fleet, random);
+        (void)read_heartbeat(mutate(body, random));
+        const std::string changed = mutate(fleet_bytes, random);
         (void)values.apply_stored("fleet", changed, 2);
         (void)values.apply_transfer({"fleet", 9, 3, true, changed});
         (void)values.apply_stored("jobs/p", changed, 2);
         milliseconds lease{0};
         findings problems;
         (void)decode_task_calls(
-            mutated(encode_task_calls({{"j", 1, task_order::run, "k", 5, {}}}, 10s), random), lease,
-            problems);
+            mutate(encode_task_calls({{"j", 1, task_order::run, "k", 5, {}}}, 10s), random), lease, problems);
         (void)decode_worker_answer(
-            mutated(encode_worker_answer({1, {{"j", 1, task_state::done, {}}}}), random), problems);
+            mutate(encode_worker_answer({1, {{"j", 1, task_state::done, {}}}}), random), problems);
     }
     CHECK(read_heartbeat(body));
 }
@@ -181,15 +180,15 @@
         from->reply(200, {}, from->body());
     });
     REQUIRE(server.listen({"127.0.0.1", 0}));
-    const std::string good = "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody";
-    frame_client sender(loop);
+    const std::string valid_request = "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody";
+    frame_client malformed_client(loop);
     for (int round = 0; round < 60; ++round) {
         int ended = 0;
         for (int i = 0; i < 20; ++i) {
             // The frame's length in front makes the first line garbage now and then; the rest is a changed
             // request.
-            sender.send({"127.0.0.1", server.port()}, mutated(good, random), 150ms,
-                        [&](stream_status, std::string_view) { ++ended; });
+            malformed_client.send({"127.0.0.1", server.port()}, mutate(valid_request, random), 150ms,
+                                  [&](stream_status, std::string_view) { ++ended; });
         }
         REQUIRE(loop_until(loop, [&] { return ended == 20; }));
     }
@@ -212,34 +211,35 @@
 
 TEST_CASE("the peer door bounds frames and drops senders without the key") {
     event_loop loop;
-    int heard = 0;
-    peer_task door(loop, "a shared key of at least thirty-two characters",
-                   {[&](const heartbeat&) { ++heard; }, [](const value_request&) { return value_reply{}; }});
+    int received_heartbeats = 0;
+    peer_task keyed_peer(loop, "a shared key of at least thirty-two characters",
+                         {[&](const heartbeat&) { ++received_heartbeats; },
+                          [](const value_request&) { return value_reply{}; }});
     std::uint16_t port = 0;
     {
-        http_server probe(loop, {}, [](const std::shared_ptr<server_request>&) {});
-        REQUIRE(probe.listen({"127.0.0.1", 0}));
-        port = probe.port();
+        http_server port_probe(loop, {}, [](const std::shared_ptr<server_request>&) {});
+        REQUIRE(port_probe.listen({"127.0.0.1", 0}));
+        port = port_probe.port();
     }
-    REQUIRE(door.listen({"127.0.0.1", port}));
-    peer_task stranger(loop, "another key of at least thirty-two characters.", {});
+    REQUIRE(keyed_peer.listen({"127.0.0.1", port}));
+    peer_task foreign_peer(loop, "another key of at least thirty-two characters.", {});
     bool ended = false;
     bool answered = true;
-    stranger.pull({"x", {}}, {"127.0.0.1", port}, [&](const std::optional<value_reply>& reply) {
+    foreign_peer.pull({"x", {}}, {"127.0.0.1", port}, [&](const std::optional<value_reply>& reply) {
         ended = true;
         answered = reply.has_value();
     });
     REQUIRE(loop_until(loop, [&] { return ended; }));
     CHECK_FALSE(answered);
-    CHECK(door.usage().refused == 1);
-    frame_client raw(loop);
+    CHECK(keyed_peer.usage().refused == 1);
+    frame_client raw_client(loop);
     int failed = 0;
-    raw.send(
+    raw_client.send(
         {"127.0.0.1", port}, std::string(max_frame_bytes + 1, 'x'), 20s,
         [&](stream_status status, std::string_view) { failed = status == stream_status::answered ? -1 : 1; });
     REQUIRE(loop_until(loop, [&] { return failed != 0; }));
     CHECK(failed == 1);
-    CHECK(heard == 0);
+    CHECK(received_heartbeats == 0);
 }
 
 TEST_CASE("mutated words of the platform are refused or read as something harmless") {
@@ -252,15 +252,15 @@
         R"({"service":"s","address":"10.1.0.9:8080","zone":"z","version":"v1","state":"ready","machine":"m","capacity":
         {"cpu":16000,"mem_mb":32768,"gpu":0},"labels":["a","r1"],"clock_ms":482113})";
     const std::string wave = R"({"wave":1,"machines":["m-1","m-2"],"duration_s":20,"max_count":1})";
-    for (int i = 0; i < mutations; ++i) {
-        if (const auto read = platform::decode_configuration(mutated(configuration, random))) {
+    for (int i = 0; i < mutation_count; ++i) {
+        if (const auto read = platform::decode_configuration(mutate(configuration, random))) {
             for (const jobs::queue_settings& queue : read->queues) {
                 REQUIRE(queue.max_attempts >= 1);
                 REQUIRE(queue.stretch_factor >= 1);
             }
         }
         findings problems;
-        if (const auto read = platform::decode_vm("servers/i-1", mutated(vm, random), problems)) {
+        if (const auto read = platform::decode_vm("servers/i-1", mutate(vm, random), problems)) {
             REQUIRE(read->incarnation == "i-1");
             REQUIRE(!read->address.empty());
             REQUIRE(read->port > 0);
@@ -273,12 +273,12 @@
         } else {
             REQUIRE_FALSE(problems.empty());
         }
-        if (const auto read = platform::decode_wave(mutated(wave, random))) {
+        if (const auto read = platform::decode_wave(mutate(wave, random))) {
             REQUIRE(read->max_concurrent >= 1);
             REQUIRE(read->number >= 0);
             REQUIRE(read->duration >= 0ms);
         }
-        static_cast<void>(platform::decode_task(mutated("5c0e7a21d94b36f8.0.1.17", random)));
+        static_cast<void>(platform::decode_task(mutate("5c0e7a21d94b36f8.0.1.17", random)));
     }
 }
 
@@ -289,10 +289,10 @@
         {"count":20,"cpu":2000,"mem_mb":1024,"estimate_ms":7000,"after":[0],"checkpointed":true}],
         "repeat_count":2,"start_at_ms":1,"period_ms":1000})";
     int refused = 0;
-    for (int i = 0; i < mutations; ++i) {
+    for (int i = 0; i < mutation_count; ++i) {
         findings problems;
         const jobs::job_spec spec =
-            platform::decode_job(mutated(body, random), "5c0e7a21d94b36f8", "q", problems);
+            platform::decode_job(mutate(body, random), "5c0e7a21d94b36f8", "q", problems);
         if (!problems.empty()) {
             ++refused;
             continue;
@@ -304,7 +304,7 @@
         REQUIRE(tasks <= jobs::max_tasks_per_job);
         REQUIRE(job.total_idle_tasks() == tasks);
     }
-    CHECK(refused > mutations / 4);
+    CHECK(refused > mutation_count / 4);
 }
 
 TEST_CASE("mutated values of our own in the store, and mutated peer messages, are refused or harmless") {
@@ -318,12 +318,12 @@
     node::peer_request request;
     request.pool = "p";
     request.vms_to_empty = {"a", "b"};
-    for (int i = 0; i < mutations; ++i) {
-        static_cast<void>(decode_archive<jobs::job_record>(mutated(encode_archive(record), random)));
-        static_cast<void>(decode_archive<node::peer_request>(mutated(encode_archive(request), random)));
+    for (int i = 0; i < mutation_count; ++i) {
+        static_cast<void>(decode_archive<jobs::job_record>(mutate(encode_archive(record), random)));
+        static_cast<void>(decode_archive<node::peer_request>(mutate(encode_archive(request), random)));
         static_cast<void>(
-            decode_archive<node::owner_record>(mutated(encode_archive(node::owner_record{}), random)));
-        if (const auto read = decode_archive<jobs::job_progress>(mutated(encode_archive(progress), random))) {
+            decode_archive<node::owner_record>(mutate(encode_archive(node::owner_record{}), random)));
+        if (const auto read = decode_archive<jobs::job_progress>(mutate(encode_archive(progress), random))) {
             jobs::job_state job(record.spec, timestamp(0));
             job.restore(read.value());
             REQUIRE(job.total_idle_tasks() <= 2);
@@ -338,12 +338,12 @@
         "peer_port":7060,"metrics_port":9464,"store":"10.200.1.7:8621","machines":"10.200.0.107:8621","advice":null,
         "vm_lease_ms":6000,"order_quiet_ms":3000,"grace_s":6,"keep_ended_s":120,"upkeep_s":2,"move_s":1.5,
         "machine_orders_per_s":64.0,"stop_ms":900,"link_mbps":20.0})";
-    findings none;
-    static_cast<void>(node::parse_node_settings(parse_json(text, "", none), none));
-    REQUIRE(none.empty());
-    for (int i = 0; i < mutations; ++i) {
+    findings no_problems;
+    static_cast<void>(node::parse_node_settings(parse_json(text, "", no_problems), no_problems));
+    REQUIRE(no_problems.empty());
+    for (int i = 0; i < mutation_count; ++i) {
         findings problems;
-        const boost::json::value document = parse_json(mutated(text, random), "", problems);
+        const boost::json::value document = parse_json(mutate(text, random), "", problems);
         if (!problems.empty()) {
             continue;
         }
--- a/tests/main/deployment.hpp
+++ b/tests/main/deployment.hpp
@@ -25,11 +25,11 @@
         start_test_log();
         REQUIRE(platform.listen({"127.0.0.1", 0}));
         const std::string digest = sha256_hex(credential);
-        const std::string rival = sha256_hex("the rival's credential");
+        const std::string rival_digest = sha256_hex("the rival's credential");
         platform.put(
             "config",
             R"({"number":1,"history":[],"document":{"members":{"kuld":{"credential_sha256":")" + digest +
-                R"(","admin":true},"hobe":{"credential_sha256":")" + rival +
+                R"(","admin":true},"hobe":{"credential_sha256":")" + rival_digest +
                 R"("}},"teams":{"t":{"member":"kuld","cpu_millicores":64000}},"weights":{"buffer":1,"moves":0},
                          "pools":{"k":{"member":"kuld","promised":1,"size":2},"h":{"member":"hobe","promised":1,"size":1}},
                          "services":{"k":{"pool":"k"},"h":{"pool":"h"}},
@@ -86,7 +86,7 @@
         return boost::leaf::try_handle_all([&] { return decode_jobs(bytes); }, [] { return job_table{}; });
     }
 
-    [[nodiscard]] int serving(const std::string& pool) const {
+    [[nodiscard]] int count_serving(const std::string& pool) const {
         int count = 0;
         for (const vm_record& vm : fleet().vms) {
             count += vm.pool == pool && vm.state == vm_state::serving ? 1 : 0;
@@ -94,22 +94,24 @@
         return count;
     }
 
-    bool until(const std::function<bool()>& condition) { return loop_until(loop, condition); }
+    bool run_until(const std::function<bool()>& condition) { return loop_until(loop, condition); }
 
     /// Starts entries and VMs and waits until both pools serve at their size.
-    void start_usual() {
+    void start_default() {
         add_vm("w1");
         add_vm("w2", "b");
         add_vm("w3");
         add_entry("e1");
         add_entry("e2", "b");
-        REQUIRE(until([&] { return serving("k") == 2 && serving("h") == 1 && fleet().entries.size() == 2; }));
-        REQUIRE(until([&] { return health("e1") && health("e2"); }));
+        REQUIRE(run_until([&] {
+            return count_serving("k") == 2 && count_serving("h") == 1 && fleet().entries.size() == 2;
+        }));
+        REQUIRE(run_until([&] { return is_up_to_date("e1") && is_up_to_date("e2"); }));
     }
 
     /// Whether the entry has the newest fleet record and says that it is ready.
-    bool health(const std::string& id) {
-        const http_answer answer = ask(settings(id).callers, "GET", "/siskinpaddle/health");
+    bool is_up_to_date(const std::string& id) {
+        const http_answer answer = send_and_wait(settings(id).callers, "GET", "/siskinpaddle/health");
         findings problems;
         const boost::json::value body = parse_json(answer.body, "", problems);
         if (answer.code != 200 || !problems.empty()) {
@@ -119,16 +121,16 @@
         return object.number("fleet", {0, INT64_MAX}) == static_cast<std::int64_t>(fleet().revision);
     }
 
-    http_answer ask(const endpoint& to, const std::string& method, const std::string& target,
-                    const std::string& body = {},
-                    const std::vector<std::pair<std::string, std::string>>& fields = {}) {
+    http_answer send_and_wait(const endpoint& to, const std::string& method, const std::string& target,
+                              const std::string& body = {},
+                              const std::vector<std::pair<std::string, std::string>>& fields = {}) {
         http_answer result;
         bool ended = false;
         send(to, method, target, body, fields, [&](const http_answer& answer) {
             result = answer;
             ended = true;
         });
-        REQUIRE(until([&] { return ended; }));
+        REQUIRE(run_until([&] { return ended; }));
         return result;
     }
 
@@ -148,17 +150,19 @@
         client.send(std::move(call), std::move(done));
     }
 
-    http_answer operate(const std::string& id, const std::string& method, const std::string& target,
-                        const std::string& body = {}, const std::string& secret = credential) {
-        return ask(settings(id).operators, method, target, body, {{"Authorization", "Bearer " + secret}});
+    http_answer send_operator_request(const std::string& id, const std::string& method,
+                                      const std::string& target, const std::string& body = {},
+                                      const std::string& secret = credential) {
+        return send_and_wait(settings(id).operators, method, target, body,
+                             {{"Authorization", "Bearer " + secret}});
     }
 
-    http_answer patch(const std::string& id, std::uint64_t against, const std::string& write_id,
+    http_answer patch(const std::string& id, std::uint64_t base_number, const std::string& write_id,
                       const std::string& merge, const std::string& secret = credential) {
-        return operate(id, "POST", "/v1/patches",
-                       R"({"against":)" + std::to_string(against) + R"(,"write_id":")" + write_id +
-                           R"(","patch":)" + merge + "}",
-                       secret);
+        return send_operator_request(id, "POST", "/v1/patches",
+                                     R"({"against":)" + std::to_string(base_number) + R"(,"write_id":")" +
+                                         write_id + R"(","patch":)" + merge + "}",
+                                     secret);
     }
 
     event_loop loop;
--- a/tests/main/recovery_test.cpp
+++ b/tests/main/recovery_test.cpp
@@ -10,78 +10,78 @@
     // A long request runs on the VM whose turn it is. The reboot must wait for its end, and no new request
     // may come.
     deployment d;
-    d.start_usual();
-    std::shared_ptr<server_request> held;
-    std::string held_by;
+    d.start_default();
+    std::shared_ptr<server_request> held_request;
+    std::string held_by_vm;
     for (auto& [id, vm] : d.vms) {
         vm->on_request = [&, name = id](const std::shared_ptr<server_request>& from) {
-            if (held == nullptr && from->target() == "/k/long") {
-                held = from;
-                held_by = name;
+            if (held_request == nullptr && from->target() == "/k/long") {
+                held_request = from;
+                held_by_vm = name;
                 return;
             }
             from->reply(200, {}, name);
         };
     }
-    http_answer longest;
+    http_answer long_answer;
     d.send(d.settings("e1").callers, "GET", "/k/long", "", {{"Deadline-Ms", "60000"}},
-           [&](const http_answer& answer) { longest = answer; });
-    REQUIRE(d.until([&] { return held != nullptr; }));
+           [&](const http_answer& answer) { long_answer = answer; });
+    REQUIRE(d.run_until([&] { return held_request != nullptr; }));
     REQUIRE(d.patch("e1", 1, "w", R"({"waves":{"w":{"pool":"k","order":1}}})").code == 200);
-    REQUIRE(d.until([&] { return d.fleet().find_vm(held_by)->state == vm_state::draining; }));
+    REQUIRE(d.run_until([&] { return d.fleet().find_vm(held_by_vm)->state == vm_state::draining; }));
     for (int i = 0; i < 20; ++i) {
-        const http_answer answer = d.ask(d.settings("e1").callers, "GET", "/k/short");
+        const http_answer answer = d.send_and_wait(d.settings("e1").callers, "GET", "/k/short");
         REQUIRE(answer.code == 200);
-        REQUIRE(answer.body != held_by);
+        REQUIRE(answer.body != held_by_vm);
     }
-    REQUIRE(d.fleet().find_vm(held_by)->state == vm_state::draining);
+    REQUIRE(d.fleet().find_vm(held_by_vm)->state == vm_state::draining);
     // The planner says it with its next step, whichever entry is asked.
-    REQUIRE(d.until([&] {
-        return d.operate("e2", "GET", "/v1/status").body.find("requests in progress at entries: e1") !=
-               std::string::npos;
+    REQUIRE(d.run_until([&] {
+        return d.send_operator_request("e2", "GET", "/v1/status")
+                   .body.find("requests in progress at entries: e1") != std::string::npos;
     }));
-    REQUIRE(d.fleet().find_vm(held_by)->state == vm_state::draining);
-    held->reply(200, {}, "the long answer");
-    held.reset();
-    REQUIRE(d.until([&] {
+    REQUIRE(d.fleet().find_vm(held_by_vm)->state == vm_state::draining);
+    held_request->reply(200, {}, "the long answer");
+    held_request.reset();
+    REQUIRE(d.run_until([&] {
         int done = 0;
         for (const vm_record& vm : d.fleet().vms) {
             done += vm.pool == "k" && vm.completed_wave == 1 && vm.state == vm_state::serving ? 1 : 0;
         }
         return done == 2;
     }));
-    CHECK(longest.code == 200);
-    CHECK(longest.body == "the long answer");
+    CHECK(long_answer.code == 200);
+    CHECK(long_answer.body == "the long answer");
 }
 
 TEST_CASE("a killed entry is found out by its refused port and stops holding waves up") {
     deployment d;
-    d.start_usual();
+    d.start_default();
     d.kill_entry("e2");
-    REQUIRE(d.until([&] { return d.fleet().entries.size() == 1; }));
+    REQUIRE(d.run_until([&] { return d.fleet().entries.size() == 1; }));
     CHECK(d.fleet().entries.front().id == "e1");
 }
 
 TEST_CASE("a restarted entry takes its registration over with a higher incarnation") {
     deployment d;
-    d.start_usual();
+    d.start_default();
     const std::uint64_t before = d.fleet().find_entry("e2")->incarnation;
     d.kill_entry("e2");
     d.add_entry("e2", "b");
-    REQUIRE(d.until([&] { return d.health("e2"); }));
+    REQUIRE(d.run_until([&] { return d.is_up_to_date("e2"); }));
     CHECK(d.fleet().find_entry("e2")->incarnation > before);
     CHECK(d.fleet().entries.size() == 2);
 }
 
 TEST_CASE("control passes on when its holder dies") {
     deployment d;
-    d.start_usual();
+    d.start_default();
     const std::string planner = d.fleet().planner;
     const std::string other = planner == "e1" ? "e2" : "e1";
     d.kill_entry(planner);
-    REQUIRE(d.until([&] { return d.fleet().planner == other; }));
+    REQUIRE(d.run_until([&] { return d.fleet().planner == other; }));
     REQUIRE(d.patch(other, 1, "w", R"({"waves":{"w":{"pool":"k","order":1}}})").code == 200);
-    REQUIRE(d.until([&] {
+    REQUIRE(d.run_until([&] {
         int done = 0;
         for (const vm_record& vm : d.fleet().vms) {
             done += vm.completed_wave == 1 && vm.state == vm_state::serving ? 1 : 0;
@@ -94,29 +94,29 @@
     // e2 can reach neither the platform nor its peers; its targets it can. The wave waits for it by name,
     // while e2 still answers its zone's callers by what it knows.
     deployment d;
-    d.start_usual();
+    d.start_default();
     if (d.fleet().planner == "e2") {
         d.kill_entry("e2");
-        REQUIRE(d.until([&] { return d.fleet().planner == "e1"; }));
+        REQUIRE(d.run_until([&] { return d.fleet().planner == "e1"; }));
         d.add_entry("e2", "b");
-        REQUIRE(d.until([&] { return d.health("e2"); }));
+        REQUIRE(d.run_until([&] { return d.is_up_to_date("e2"); }));
     }
     d.platform.set_trouble("e2", fakes::trouble::cut);
-    d.entries.at("e2")->cut_peers(true);
+    d.entries.at("e2")->set_partitioned(true);
     REQUIRE(d.patch("e1", 1, "w", R"({"waves":{"w":{"pool":"k","order":1}}})").code == 200);
-    REQUIRE(d.until([&] {
-        return d.operate("e1", "GET", "/v1/status").body.find("entries not at fleet revision") !=
-               std::string::npos;
+    REQUIRE(d.run_until([&] {
+        return d.send_operator_request("e1", "GET", "/v1/status")
+                   .body.find("entries not at fleet revision") != std::string::npos;
     }));
     for (int i = 0; i < 10; ++i) {
-        REQUIRE(d.ask(d.settings("e2").callers, "GET", "/k/fare").code == 200);
+        REQUIRE(d.send_and_wait(d.settings("e2").callers, "GET", "/k/fare").code == 200);
     }
     for (const vm_record& vm : d.fleet().vms) {
         CHECK(vm.state != vm_state::in_maintenance);
     }
-    d.entries.at("e2")->cut_peers(false);
+    d.entries.at("e2")->set_partitioned(false);
     d.platform.set_trouble("e2", fakes::trouble::none);
-    REQUIRE(d.until([&] {
+    REQUIRE(d.run_until([&] {
         int done = 0;
         for (const vm_record& vm : d.fleet().vms) {
             done += vm.completed_wave == 1 && vm.state == vm_state::serving ? 1 : 0;
@@ -127,32 +127,33 @@
 
 TEST_CASE("a zone cut from the platform follows a patch through its peers") {
     deployment d;
-    d.start_usual();
+    d.start_default();
     d.platform.set_trouble("e2", fakes::trouble::cut);
     REQUIRE(d.patch("e1", 1, "p", R"({"pools":{"k":{"max_queue":7}}})").code == 200);
-    REQUIRE(d.until([&] { return field(d.operate("e2", "GET", "/v1/config"), "number") == "2"; }));
+    REQUIRE(d.run_until(
+        [&] { return field(d.send_operator_request("e2", "GET", "/v1/config"), "number") == "2"; }));
 }
 
 TEST_CASE("a graceful stop answers what is in progress and leaves the record") {
     deployment d;
-    d.start_usual();
-    std::shared_ptr<server_request> held;
+    d.start_default();
+    std::shared_ptr<server_request> held_request;
     for (auto& [id, vm] : d.vms) {
-        vm->on_request = [&](const std::shared_ptr<server_request>& from) { held = from; };
+        vm->on_request = [&](const std::shared_ptr<server_request>& from) { held_request = from; };
     }
     http_answer answer;
     d.send(d.settings("e2").callers, "POST", "/h/seat", "", {{"Deadline-Ms", "60000"}},
-           [&](const http_answer& got) { answer = got; });
-    REQUIRE(d.until([&] { return held != nullptr; }));
+           [&](const http_answer& received) { answer = received; });
+    REQUIRE(d.run_until([&] { return held_request != nullptr; }));
     bool stopped = false;
     d.entries.at("e2")->drain([&] { stopped = true; });
-    int ticks = 0;
-    REQUIRE(d.until([&] { return ++ticks > 200; }));
+    int iterations = 0;
+    REQUIRE(d.run_until([&] { return ++iterations > 200; }));
     CHECK_FALSE(stopped);
     CHECK(d.fleet().find_entry("e2") != nullptr);
-    held->reply(200, {}, "confirmed");
-    held.reset();
-    REQUIRE(d.until([&] { return stopped; }));
+    held_request->reply(200, {}, "confirmed");
+    held_request.reset();
+    REQUIRE(d.run_until([&] { return stopped; }));
     CHECK(answer.code == 200);
     CHECK(answer.body == "confirmed");
     CHECK(d.fleet().find_entry("e2") == nullptr);
@@ -162,42 +163,43 @@
     // The cordon is in the store, but the planner was never told. It must find its own write, not cordon
     // another VM and not undo the first.
     deployment d;
-    d.start_usual();
+    d.start_default();
     const std::string planner = d.fleet().planner;
     REQUIRE(d.patch("e1", 1, "w", R"({"waves":{"w":{"pool":"k","order":1}}})").code == 200);
     for (int i = 0; i < 6; ++i) {
         d.platform.set_trouble(planner, fakes::trouble::lose_answer, 0ms, 1);
         const std::uint64_t revision = d.fleet().revision;
-        REQUIRE(d.until([&] { return d.fleet().revision > revision; }));
-        int out = 0;
+        REQUIRE(d.run_until([&] { return d.fleet().revision > revision; }));
+        int not_serving = 0;
         for (const vm_record& vm : d.fleet().vms) {
-            out += vm.pool == "k" && vm.state != vm_state::serving ? 1 : 0;
+            not_serving += vm.pool == "k" && vm.state != vm_state::serving ? 1 : 0;
         }
-        REQUIRE(out <= 1);
+        REQUIRE(not_serving <= 1);
     }
     d.platform.set_trouble(planner, fakes::trouble::none);
-    REQUIRE(d.until([&] {
-        return d.serving("k") == 2 && d.fleet().find_vm("w1")->completed_wave +
-                                              d.fleet().find_vm("w2")->completed_wave +
-                                              d.fleet().find_vm("w3")->completed_wave ==
-                                          2;
+    REQUIRE(d.run_until([&] {
+        return d.count_serving("k") == 2 && d.fleet().find_vm("w1")->completed_wave +
+                                                    d.fleet().find_vm("w2")->completed_wave +
+                                                    d.fleet().find_vm("w3")->completed_wave ==
+                                                2;
     }));
 }
 
 TEST_CASE("a killed target's pool gets a free VM, and jobs there start again elsewhere") {
     deployment d;
-    d.start_usual();
+    d.start_default();
     d.add_vm("w4");
-    REQUIRE(d.until(
+    REQUIRE(d.run_until(
         [&] { return d.fleet().vms.size() == 4 && d.fleet().find_vm("w4")->state == vm_state::free; }));
     const std::string job =
         R"({"pool":"h","id":"sweep","team":"t","urgency":"patient","cpu_millicores":1000,"memory_mb":10,"expected_ms":600000})";
-    REQUIRE(d.operate("e1", "POST", "/v1/jobs", job).code == 200);
-    REQUIRE(d.until([&] { return d.jobs("h").find("sweep")->state == job_state::running; }));
+    REQUIRE(d.send_operator_request("e1", "POST", "/v1/jobs", job).code == 200);
+    REQUIRE(d.run_until([&] { return d.jobs("h").find("sweep")->state == job_state::running; }));
     const std::string vm = d.jobs("h").find("sweep")->vm;
     d.vms.erase(vm);
-    REQUIRE(d.until([&] { return d.serving("h") == 1 && d.fleet().find_vm(vm)->state == vm_state::lost; }));
-    REQUIRE(d.until([&] {
+    REQUIRE(d.run_until(
+        [&] { return d.count_serving("h") == 1 && d.fleet().find_vm(vm)->state == vm_state::lost; }));
+    REQUIRE(d.run_until([&] {
         return d.jobs("h").find("sweep")->state == job_state::running && d.jobs("h").find("sweep")->vm != vm;
     }));
     CHECK(d.jobs("h").find("sweep")->epoch == 2);
@@ -205,14 +207,14 @@
 
 TEST_CASE("all entries restart at once while the platform is slow") {
     deployment d;
-    d.start_usual();
+    d.start_default();
     d.platform.set_trouble("", fakes::trouble::slow, 150ms);
     for (const char* id : {"e1", "e2"}) {
         d.kill_entry(id);
     }
     d.add_entry("e1");
     d.add_entry("e2", "b");
-    REQUIRE(d.until([&] { return d.health("e1") && d.health("e2"); }));
+    REQUIRE(d.run_until([&] { return d.is_up_to_date("e1") && d.is_up_to_date("e2"); }));
     CHECK(d.fleet().entries.size() == 2);
-    CHECK(d.ask(d.settings("e1").callers, "GET", "/k/fare").code == 200);
+    CHECK(d.send_and_wait(d.settings("e1").callers, "GET", "/k/fare").code == 200);
 }
