--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -11,17 +11,17 @@
 constexpr timestamp five_weeks = std::chrono::hours(24 * 35);
 constexpr milliseconds day = std::chrono::hours(24);
 constexpr milliseconds reboot_time = 5min;
-constexpr milliseconds restart_away = 4min;
-constexpr milliseconds failure_away = 4h;
-constexpr milliseconds rack_away = 2h;
-constexpr milliseconds zone_away = 1h;
-constexpr milliseconds round_time = 250ms; ///< Between two steps of the real planner.
-constexpr int most_rounds = 6;
-constexpr milliseconds look_again = 30s;
-constexpr milliseconds quiet_look_again =
+constexpr milliseconds restart_downtime = 4min;
+constexpr milliseconds failure_downtime = 4h;
+constexpr milliseconds rack_failure_downtime = 2h;
+constexpr milliseconds zone_failure_downtime = 1h;
+constexpr milliseconds decision_interval = 250ms; ///< Between two steps of the real planner.
+constexpr int max_rounds = 6;
+constexpr milliseconds transition_check_interval = 30s;
+constexpr milliseconds idle_check_interval =
     5min; ///< The real planner looks four times a second; nothing would change.
 
-std::string numbered(const char* prefix, int number) {
+std::string make_numbered_id(const char* prefix, int number) {
     std::string digits = std::to_string(10'000 + number);
     return prefix + digits.substr(1);
 }
@@ -37,29 +37,30 @@
 fleet_model::fleet_model(const fleet_shape& shape, const policy_choice& choice, std::uint64_t seed)
     : m_shape(shape), m_choice(choice), m_random(seed), m_planner(choice.planning) {
     build_fleet();
-    schedule(gap(m_shape.failures_per_day), event_kind::vm_fails);
-    schedule(gap(m_shape.restarts_per_day), event_kind::vm_restarts);
-    schedule(gap(m_shape.racks_per_month / 30), event_kind::rack_fails);
-    schedule(gap(m_shape.zones_per_month / 30), event_kind::zone_fails);
+    schedule(draw_interval(m_shape.failures_per_day), event_kind::vm_fails);
+    schedule(draw_interval(m_shape.restarts_per_day), event_kind::vm_restarts);
+    schedule(draw_interval(m_shape.rack_failures_per_month / 30), event_kind::rack_fails);
+    schedule(draw_interval(m_shape.zone_failures_per_month / 30), event_kind::zone_fails);
     for (const auto& [pool, settings] : m_config.pools) {
         schedule(1min, event_kind::job_arrives, pool);
     }
 }
 
-milliseconds fleet_model::gap(double per_day) {
-    const double wait = -std::log(1 - m_random.next_double()) / per_day * static_cast<double>(day.count());
-    return milliseconds(std::max<std::int64_t>(1, static_cast<std::int64_t>(wait)));
+milliseconds fleet_model::draw_interval(double per_day) {
+    const double interval_ms =
+        -std::log(1 - m_random.next_double()) / per_day * static_cast<double>(day.count());
+    return milliseconds(std::max<std::int64_t>(1, static_cast<std::int64_t>(interval_ms)));
 }
 
-void fleet_model::schedule(milliseconds delay, event_kind kind, std::string subject, std::uint64_t number) {
-    m_events.push({m_now + delay, ++m_event_order, kind, std::move(subject), number});
+void fleet_model::schedule(milliseconds delay, event_kind kind, std::string subject, std::uint64_t epoch) {
+    m_events.push({m_now + delay, ++m_event_sequence, kind, std::move(subject), epoch});
 }
 
 /// Builds pools and waves; returns the VMs that the pools hold together.
 std::int64_t fleet_model::build_pools() {
     // Promises differ from pool to pool; what is left of the fleet after the baseline's spares is promised,
     // so the baseline just fits, and every policy is asked for the same promises.
-    std::int64_t left = m_shape.vms;
+    std::int64_t remaining = m_shape.vms;
     std::vector<std::int64_t> promises;
     for (int i = 0; i < m_shape.pools; ++i) {
         const double weight = 0.5 + static_cast<double>(i) / m_shape.pools;
@@ -67,33 +68,34 @@
             static_cast<std::int64_t>(static_cast<double>(m_shape.vms) / m_shape.pools * weight);
         const std::int64_t spare = std::max<std::int64_t>(2, (share + 10) / 11);
         promises.push_back(share - spare);
-        left -= share;
+        remaining -= share;
     }
-    promises.back() += left;
-    std::int64_t held = 0;
+    promises.back() += remaining;
+    std::int64_t pool_vms = 0;
     for (int i = 0; i < m_shape.pools; ++i) {
         pool_settings pool;
         pool.member = "m";
         pool.promised = promises[static_cast<std::size_t>(i)];
-        pool.size = pool.promised + std::max(m_choice.own_spare_least,
-                                             (pool.promised * m_choice.own_spare_percent + 99) / 100);
-        const std::string name = numbered("p", i);
-        if (!m_choice.one_wave) {
+        pool.size = pool.promised +
+                    std::max(m_choice.min_spare_vms, (pool.promised * m_choice.spare_percent + 99) / 100);
+        const std::string name = make_numbered_id("p", i);
+        if (!m_choice.has_single_wave) {
             m_config.waves["w-" + name] = {
-                name, i + 1, std::max<std::int64_t>(1, pool.size * m_choice.width_percent / 100), 12h, false};
+                name, i + 1, std::max<std::int64_t>(1, pool.size * m_choice.wave_width_percent / 100), 12h,
+                false};
         }
-        held += pool.size;
-        m_figures.promised += pool.promised;
+        pool_vms += pool.size;
+        m_metrics.promised += pool.promised;
         m_config.pools[name] = pool;
     }
-    if (m_choice.one_wave) {
-        m_config.waves["w"] = {"*", 1, std::max<std::int64_t>(1, held * m_choice.width_percent / 100), 12h,
-                               false};
+    if (m_choice.has_single_wave) {
+        m_config.waves["w"] = {
+            "*", 1, std::max<std::int64_t>(1, pool_vms * m_choice.wave_width_percent / 100), 12h, false};
     }
-    return held;
+    return pool_vms;
 }
 
-std::vector<std::string> fleet_model::dealt_pools() const {
+std::vector<std::string> fleet_model::compute_initial_pools() const {
     // Baseline: pools one after another in the order of VMs. Ours: dealt round, so that a rack holds few of
     // each.
     std::vector<std::string> order;
@@ -101,17 +103,17 @@
         order.insert(order.end(), static_cast<std::size_t>(pool.size), name);
     }
     if (!m_choice.planning.first_fit) {
-        std::vector<std::string> dealt;
-        std::map<std::string, std::int64_t> given;
-        while (dealt.size() < order.size()) {
+        std::vector<std::string> interleaved;
+        std::map<std::string, std::int64_t> assigned_counts;
+        while (interleaved.size() < order.size()) {
             for (const auto& [name, pool] : m_config.pools) {
-                if (given[name] < pool.size) {
-                    ++given[name];
-                    dealt.push_back(name);
+                if (assigned_counts[name] < pool.size) {
+                    ++assigned_counts[name];
+                    interleaved.push_back(name);
                 }
             }
         }
-        order = dealt;
+        order = interleaved;
     }
     return order;
 }
@@ -120,11 +122,11 @@
     m_config.number = 1;
     m_config.members["m"] = {std::string(64, '0'), true};
     m_config.teams["t"] = {"m", 1'000'000'000, 0};
-    m_figures.vms = build_pools() + m_choice.shared_free;
-    for (int i = 0; i < m_figures.vms; ++i) {
+    m_metrics.vms = build_pools() + m_choice.shared_free_vms;
+    for (int i = 0; i < m_metrics.vms; ++i) {
         vm_record vm;
-        vm.id = numbered("w", i);
-        vm.rack = numbered("r", i / m_shape.vms_per_rack);
+        vm.id = make_numbered_id("w", i);
+        vm.rack = make_numbered_id("r", i / m_shape.vms_per_rack);
         vm.availability_zone =
             std::string(1, static_cast<char>('a' + (i / m_shape.vms_per_rack) % m_shape.zones));
         vm.cores = 32;
@@ -138,105 +140,106 @@
         item.cores = vm.cores;
         item.memory_mb = vm.memory_mb;
         item.boot_count = 1;
-        m_seen.listed_vms[vm.id] = item;
-        m_machines[vm.id] = item;
+        m_observations.listed_vms[vm.id] = item;
+        m_listed_vms[vm.id] = item;
     }
-    assign_first(dealt_pools());
+    assign_initial_pools(compute_initial_pools());
     for (int zone = 0; zone < m_shape.zones; ++zone) {
         const std::string name(1, static_cast<char>('a' + zone));
         m_fleet.put_entry({"e-" + name, name, "127.0.0.1", 1, "127.0.0.1", 2, 1});
     }
     m_fleet.revision = 1;
-    m_seen.is_list_known = true;
+    m_observations.is_list_known = true;
 }
 
-void fleet_model::assign_first(const std::vector<std::string>& order) {
-    for (std::size_t i = 0; i < order.size(); ++i) {
-        m_fleet.vms[i].pool = order[i];
+void fleet_model::assign_initial_pools(const std::vector<std::string>& pools) {
+    for (std::size_t i = 0; i < pools.size(); ++i) {
+        m_fleet.vms[i].pool = pools[i];
         m_fleet.vms[i].state = vm_state::serving;
     }
 }
 
-void fleet_model::fail(const std::string& vm, milliseconds away) {
+void fleet_model::fail_vm(const std::string& vm, milliseconds downtime) {
     if (!is_up(vm)) {
         return;
     }
-    m_counts_stale = true;
-    m_away[vm] = m_now + away;
-    m_seen.listed_vms.erase(vm);
-    schedule(away, event_kind::vm_back, vm);
+    m_are_counts_stale = true;
+    m_down_until[vm] = m_now + downtime;
+    m_observations.listed_vms.erase(vm);
+    schedule(downtime, event_kind::vm_returns, vm);
     for (auto& [pool, table] : m_jobs) {
         for (job_record& job : table.jobs) {
             if (job.vm == vm && may_be_running(job.state)) {
-                m_truth[pool][job.id].runs_since = timestamp{0}; // Work since the last checkpoint is lost.
+                m_simulated_jobs[pool][job.id].running_since =
+                    timestamp{0}; // Work since the last checkpoint is lost.
             }
         }
     }
 }
 
-void fleet_model::happen(const event& item) {
+void fleet_model::handle_event(const event& item) {
     const auto any_vm = [this] { return m_fleet.vms[m_random.next_below(m_fleet.vms.size())]; };
     const double scale = static_cast<double>(m_shape.vms) / 870;
     switch (item.kind) {
     case event_kind::vm_fails:
-        fail(any_vm().id, failure_away);
-        schedule(gap(m_shape.failures_per_day * scale), event_kind::vm_fails);
+        fail_vm(any_vm().id, failure_downtime);
+        schedule(draw_interval(m_shape.failures_per_day * scale), event_kind::vm_fails);
         return;
     case event_kind::vm_restarts:
-        fail(any_vm().id, restart_away);
-        schedule(gap(m_shape.restarts_per_day * scale), event_kind::vm_restarts);
+        fail_vm(any_vm().id, restart_downtime);
+        schedule(draw_interval(m_shape.restarts_per_day * scale), event_kind::vm_restarts);
         return;
     case event_kind::rack_fails: {
         const std::string rack = any_vm().rack;
         for (const vm_record& vm : m_fleet.vms) {
             if (vm.rack == rack) {
-                fail(vm.id, rack_away);
+                fail_vm(vm.id, rack_failure_downtime);
             }
         }
-        schedule(gap(m_shape.racks_per_month / 30), event_kind::rack_fails);
+        schedule(draw_interval(m_shape.rack_failures_per_month / 30), event_kind::rack_fails);
         return;
     }
     case event_kind::zone_fails: {
         const std::string zone = any_vm().availability_zone;
         for (const vm_record& vm : m_fleet.vms) {
             if (vm.availability_zone == zone) {
-                fail(vm.id, zone_away);
+                fail_vm(vm.id, zone_failure_downtime);
             }
         }
-        schedule(gap(m_shape.zones_per_month / 30), event_kind::zone_fails);
+        schedule(draw_interval(m_shape.zone_failures_per_month / 30), event_kind::zone_fails);
         return;
     }
-    case event_kind::vm_back:
+    case event_kind::vm_returns:
     case event_kind::reboot_ends: {
-        m_counts_stale = true;
-        m_away.erase(item.subject);
+        m_are_counts_stale = true;
+        m_down_until.erase(item.subject);
         const vm_record* vm = m_fleet.find_vm(item.subject);
-        listed_vm& machine = m_machines[item.subject];
-        machine.boot_count = std::max(machine.boot_count, vm == nullptr ? 0 : vm->boot_count) + 1;
-        m_seen.listed_vms[item.subject] = machine;
+        listed_vm& listed = m_listed_vms[item.subject];
+        listed.boot_count = std::max(listed.boot_count, vm == nullptr ? 0 : vm->boot_count) + 1;
+        m_observations.listed_vms[item.subject] = listed;
         return;
     }
     case event_kind::job_arrives:
-        job_arrives(item.subject);
-        (void)place(item.subject);
+        handle_job_arrival(item.subject);
+        (void)place_pool_jobs(item.subject);
         return;
     case event_kind::job_ends:
-        job_ends(item.subject, item.number);
+        handle_job_end(item.subject, item.epoch);
         return;
     case event_kind::job_stopped:
-        job_stopped(item.subject, item.number);
-        (void)place(item.subject.substr(0, item.subject.find('/')));
+        handle_job_stopped(item.subject, item.epoch);
+        (void)place_pool_jobs(item.subject.substr(0, item.subject.find('/')));
         return;
     }
 }
 
-void fleet_model::report() {
-    m_seen.list_read_at = m_now;
-    m_seen.tasks.clear();
+void fleet_model::update_observations() {
+    m_observations.list_read_at = m_now;
+    m_observations.tasks.clear();
     for (const auto& [pool, table] : m_jobs) {
         for (const job_record& job : table.jobs) {
             if (may_be_running(job.state)) {
-                ++m_seen.tasks[job.vm];
+                ++m_observations.tasks[job.vm];
             }
         }
     }
@@ -247,7 +250,7 @@
         }
     }
     for (const entry_record& entry : m_fleet.entries) {
-        entry_report& item = m_seen.entries[entry.id];
+        entry_report& item = m_observations.entries[entry.id];
         item.incarnation = entry.incarnation;
         item.applied_fleet = m_fleet.revision;
         item.received_at = m_now;
@@ -255,132 +258,134 @@
     }
 }
 
-void fleet_model::note_planned_steps(const fleet_plan& plan) {
+void fleet_model::record_planned_steps(const fleet_plan& plan) {
     for (const vm_record& vm : plan.next.vms) {
         const vm_record* before = m_fleet.find_vm(vm.id);
         if (before == nullptr) {
             continue;
         }
-        m_figures.vm_moves += before->pool != vm.pool && !before->pool.empty() ? 1 : 0;
+        m_metrics.vm_moves += before->pool != vm.pool && !before->pool.empty() ? 1 : 0;
         // Judged by the model's truth, not by the planner's count: a step that leaves fewer VMs up than
         // promised.
-        const bool taken = before->state == vm_state::serving && vm.state == vm_state::cordoned;
-        if (!taken) {
+        const bool is_taken_out = before->state == vm_state::serving && vm.state == vm_state::cordoned;
+        if (!is_taken_out) {
             continue;
         }
-        ++m_figures.vms_maintained;
-        std::int64_t up = 0;
+        ++m_metrics.vms_maintained;
+        std::int64_t serving_count = 0;
         for (const vm_record& other : plan.next.vms) {
-            up += other.pool == vm.pool && other.state == vm_state::serving && is_up(other.id) ? 1 : 0;
+            serving_count +=
+                other.pool == vm.pool && other.state == vm_state::serving && is_up(other.id) ? 1 : 0;
         }
-        m_figures.planned_breaches += up < m_config.pools[vm.pool].promised ? 1 : 0;
+        m_metrics.planned_breaches += serving_count < m_config.pools[vm.pool].promised ? 1 : 0;
     }
 }
 
-bool fleet_model::plan() {
-    report();
-    const double begun = cpu_seconds();
-    const fleet_plan plan = m_planner.step(m_config, m_fleet, m_seen, m_now);
-    m_decision_seconds += cpu_seconds() - begun;
-    ++m_decisions;
+bool fleet_model::run_planner() {
+    update_observations();
+    const double cpu_start = cpu_seconds();
+    const fleet_plan plan = m_planner.step(m_config, m_fleet, m_observations, m_now);
+    m_decision_seconds += cpu_seconds() - cpu_start;
+    ++m_decision_count;
     for (const reboot_action& action : plan.reboots) {
         if (is_up(action.vm)) {
-            m_away[action.vm] = m_now + reboot_time;
-            m_seen.listed_vms.erase(action.vm);
+            m_down_until[action.vm] = m_now + reboot_time;
+            m_observations.listed_vms.erase(action.vm);
             schedule(reboot_time, event_kind::reboot_ends, action.vm);
         }
     }
     if (!plan.changed) {
         return false;
     }
-    note_planned_steps(plan);
+    record_planned_steps(plan);
     m_fleet = plan.next;
-    m_counts_stale = true;
+    m_are_counts_stale = true;
     return true;
 }
 
-void fleet_model::decide() {
-    for (int round = 0; round < most_rounds; ++round) {
-        bool changed = plan();
+void fleet_model::run_decision_rounds() {
+    for (int round = 0; round < max_rounds; ++round) {
+        bool changed = run_planner();
         for (const auto& [pool, settings] : m_config.pools) {
-            changed = place(pool) || changed;
+            changed = place_pool_jobs(pool) || changed;
         }
         if (!changed) {
             return;
         }
-        m_now += round_time;
-        measure(round_time);
+        m_now += decision_interval;
+        accumulate_metrics(decision_interval);
     }
 }
 
-bool fleet_model::in_transition() const {
+bool fleet_model::has_vms_in_transition() const {
     return std::any_of(m_fleet.vms.begin(), m_fleet.vms.end(), [](const vm_record& vm) {
         return vm.state != vm_state::serving && vm.state != vm_state::free && vm.state != vm_state::lost;
     });
 }
 
-void fleet_model::count_up() {
-    m_up.clear();
-    m_wave_left = false;
+void fleet_model::count_serving_vms() {
+    m_serving_vms.clear();
+    m_has_wave_remaining = false;
     for (const vm_record& vm : m_fleet.vms) {
-        m_up[vm.pool] += vm.state == vm_state::serving && is_up(vm.id) ? 1 : 0;
-        m_wave_left = m_wave_left || (vm.completed_wave == 0 && vm.state != vm_state::lost);
+        m_serving_vms[vm.pool] += vm.state == vm_state::serving && is_up(vm.id) ? 1 : 0;
+        m_has_wave_remaining = m_has_wave_remaining || (vm.completed_wave == 0 && vm.state != vm_state::lost);
     }
-    m_counts_stale = false;
+    m_are_counts_stale = false;
 }
 
-void fleet_model::measure(milliseconds passed) {
-    if (m_counts_stale) {
-        count_up();
+void fleet_model::accumulate_metrics(milliseconds elapsed) {
+    if (m_are_counts_stale) {
+        count_serving_vms();
     }
-    if (m_wave_left) {
-        m_wave_over = m_now;
+    if (m_has_wave_remaining) {
+        m_wave_ended_at = m_now;
     }
-    const auto ms = static_cast<double>(passed.count());
+    const auto ms = static_cast<double>(elapsed.count());
     for (const auto& [pool, settings] : m_config.pools) {
-        const bool breached = m_up[pool] < settings.promised;
-        m_figures.failure_breaches += breached && !m_breached[pool] ? 1 : 0;
-        m_breached[pool] = breached;
-        m_breach_vm_ms += breached ? ms * static_cast<double>(settings.promised - m_up[pool]) : 0;
+        const bool breached = m_serving_vms[pool] < settings.promised;
+        m_metrics.failure_breaches += breached && !m_breached_pools[pool] ? 1 : 0;
+        m_breached_pools[pool] = breached;
+        m_breach_vm_ms += breached ? ms * static_cast<double>(settings.promised - m_serving_vms[pool]) : 0;
     }
-    m_buffer_ms += ms * static_cast<double>(m_figures.vms - m_figures.promised);
+    m_buffer_vm_ms += ms * static_cast<double>(m_metrics.vms - m_metrics.promised);
 }
 
-policy_figures fleet_model::run() {
+policy_metrics fleet_model::run() {
     while (m_now < five_weeks) {
-        decide();
-        measure(milliseconds{0});
-        const timestamp next = m_now + (in_transition() ? look_again : quiet_look_again);
-        while (!m_events.empty() && m_events.top().at <= next) {
+        run_decision_rounds();
+        accumulate_metrics(milliseconds{0});
+        const timestamp next_check =
+            m_now + (has_vms_in_transition() ? transition_check_interval : idle_check_interval);
+        while (!m_events.empty() && m_events.top().at <= next_check) {
             const event item = m_events.top();
             m_events.pop();
             const timestamp at = std::max(m_now, item.at);
-            measure(at - m_now);
+            accumulate_metrics(at - m_now);
             m_now = at;
-            happen(item);
-            if (m_counts_stale) {
+            handle_event(item);
+            if (m_are_counts_stale) {
                 break; // A VM came or went: the planner sees that at its next step.
             }
         }
-        if (!m_counts_stale) {
-            measure(next - m_now);
-            m_now = next;
+        if (!m_are_counts_stale) {
+            accumulate_metrics(next_check - m_now);
+            m_now = next_check;
         }
     }
-    m_figures.buffer_ratio =
-        m_buffer_ms / (static_cast<double>(m_figures.promised) * static_cast<double>(m_now.count()));
-    m_figures.wave_hours = static_cast<double>(m_wave_over.count()) / 3.6e6;
-    m_figures.failure_breach_vm_hours = m_breach_vm_ms / 3.6e6;
-    m_figures.cpu_us_per_decision = m_decision_seconds * 1e6 / static_cast<double>(m_decisions);
+    m_metrics.buffer_ratio =
+        m_buffer_vm_ms / (static_cast<double>(m_metrics.promised) * static_cast<double>(m_now.count()));
+    m_metrics.wave_hours = static_cast<double>(m_wave_ended_at.count()) / 3.6e6;
+    m_metrics.failure_breach_vm_hours = m_breach_vm_ms / 3.6e6;
+    m_metrics.cpu_us_per_decision = m_decision_seconds * 1e6 / static_cast<double>(m_decision_count);
     for (const auto& [pool, table] : m_jobs) {
-        m_figures.jobs_left += static_cast<std::int64_t>(table.jobs.size());
+        m_metrics.jobs_left += static_cast<std::int64_t>(table.jobs.size());
         for (const job_record& job : table.jobs) {
-            m_figures.job_moves += job.moves;
-            m_figures.jobs_refused +=
+            m_metrics.job_moves += job.moves;
+            m_metrics.jobs_refused +=
                 job.state == job_state::parked || job.state == job_state::failed ? 1 : 0;
         }
     }
-    return m_figures;
+    return m_metrics;
 }
 
 } // namespace siskinpaddle::bench
--- a/bench/fleet_model.hpp
+++ b/bench/fleet_model.hpp
@@ -17,8 +17,8 @@
     int vms_per_rack = 4;
     double failures_per_day = 6;  ///< Machines that stay away for hours.
     double restarts_per_day = 88; ///< Machines that are back after minutes.
-    double racks_per_month = 0.67;
-    double zones_per_month = 0.5;
+    double rack_failures_per_month = 0.67;
+    double zone_failures_per_month = 0.5;
 };
 
 /// The policy under measure: how pools are sized, waves cut and jobs placed.
@@ -26,15 +26,15 @@
     std::string name;
     planner_options planning;
     placement_options placing;
-    std::int64_t own_spare_percent = 0; ///< Spare VMs of each pool, above its promise.
-    std::int64_t own_spare_least = 0;
-    std::int64_t shared_free = 0;   ///< VMs in no pool.
-    std::int64_t width_percent = 0; ///< Of a pool, out at once; at least one VM.
-    bool one_wave = false;          ///< One wave over the fleet, rather than one for each pool.
+    std::int64_t spare_percent = 0; ///< Spare VMs of each pool, above its promise.
+    std::int64_t min_spare_vms = 0;
+    std::int64_t shared_free_vms = 0;    ///< VMs in no pool.
+    std::int64_t wave_width_percent = 0; ///< Of a pool, out at once; at least one VM.
+    bool has_single_wave = false;        ///< One wave over the fleet, rather than one for each pool.
 };
 
 /// What a run of five weeks showed.
-struct policy_figures {
+struct policy_metrics {
     double buffer_ratio = 0;
     std::int64_t job_moves = 0;
     std::int64_t vm_moves = 0;
@@ -63,11 +63,11 @@
   public:
     fleet_model(const fleet_shape& shape, const policy_choice& choice, std::uint64_t seed);
 
-    policy_figures run();
+    policy_metrics run();
 
   private:
     enum class event_kind : std::uint8_t {
-        vm_back,
+        vm_returns,
         vm_fails,
         vm_restarts,
         rack_fails,
@@ -80,73 +80,73 @@
 
     struct event {
         timestamp at{0};
-        std::uint64_t order = 0;
+        std::uint64_t sequence = 0;
         event_kind kind = event_kind::job_arrives;
         std::string subject;
-        std::uint64_t number = 0;
+        std::uint64_t epoch = 0;
 
         bool operator>(const event& other) const {
-            return at != other.at ? at > other.at : order > other.order;
+            return at != other.at ? at > other.at : sequence > other.sequence;
         }
     };
 
-    struct job_truth {
-        milliseconds left{0};
-        timestamp runs_since{0};
-        timestamp arrived{0};
-        bool urgent = false;
-        bool started = false;
+    struct simulated_job {
+        milliseconds remaining{0};
+        timestamp running_since{0};
+        timestamp arrived_at{0};
+        bool is_urgent = false;
+        bool has_started = false;
     };
 
     void build_fleet();
     [[nodiscard]] std::int64_t build_pools();
     /// The pool of each VM at the start, in order of VMs.
-    [[nodiscard]] std::vector<std::string> dealt_pools() const;
-    void assign_first(const std::vector<std::string>& order);
-    void schedule(milliseconds delay, event_kind kind, std::string subject = {}, std::uint64_t number = 0);
-    [[nodiscard]] milliseconds gap(double per_day);
-    void happen(const event& item);
-    void fail(const std::string& vm, milliseconds away);
-    void job_arrives(const std::string& pool);
-    void job_ends(const std::string& name, std::uint64_t epoch);
-    void job_stopped(const std::string& name, std::uint64_t epoch);
-
-    void decide();
-    bool plan();
-    bool place(const std::string& pool);
-    void carry_out(const std::string& pool);
-    void report();
-    [[nodiscard]] bool in_transition() const;
-    void count_up();
-    void measure(milliseconds passed);
-    void note_planned_steps(const fleet_plan& plan);
-    [[nodiscard]] bool is_up(const std::string& vm) const { return !m_away.contains(vm); }
+    [[nodiscard]] std::vector<std::string> compute_initial_pools() const;
+    void assign_initial_pools(const std::vector<std::string>& pools);
+    void schedule(milliseconds delay, event_kind kind, std::string subject = {}, std::uint64_t epoch = 0);
+    [[nodiscard]] milliseconds draw_interval(double per_day);
+    void handle_event(const event& item);
+    void fail_vm(const std::string& vm, milliseconds downtime);
+    void handle_job_arrival(const std::string& pool);
+    void handle_job_end(const std::string& name, std::uint64_t epoch);
+    void handle_job_stopped(const std::string& name, std::uint64_t epoch);
+
+    void run_decision_rounds();
+    bool run_planner();
+    bool place_pool_jobs(const std::string& pool);
+    void apply_placement(const std::string& pool);
+    void update_observations();
+    [[nodiscard]] bool has_vms_in_transition() const;
+    void count_serving_vms();
+    void accumulate_metrics(milliseconds elapsed);
+    void record_planned_steps(const fleet_plan& plan);
+    [[nodiscard]] bool is_up(const std::string& vm) const { return !m_down_until.contains(vm); }
 
     fleet_shape m_shape;
     policy_choice m_choice;
     random_source m_random;
     configuration m_config;
     fleet_record m_fleet;
-    observations m_seen;
+    observations m_observations;
     planner m_planner;
     usage_estimates m_usage;
     std::map<std::string, job_table> m_jobs;
-    std::map<std::string, std::map<std::string, job_truth>> m_truth;
-    std::map<std::string, listed_vm> m_machines;
-    std::map<std::string, timestamp> m_away;
-    std::map<std::string, bool> m_breached;
+    std::map<std::string, std::map<std::string, simulated_job>> m_simulated_jobs;
+    std::map<std::string, listed_vm> m_listed_vms;
+    std::map<std::string, timestamp> m_down_until;
+    std::map<std::string, bool> m_breached_pools;
     std::priority_queue<event, std::vector<event>, std::greater<>> m_events;
-    std::uint64_t m_event_order = 0;
-    std::uint64_t m_next_job = 0;
+    std::uint64_t m_event_sequence = 0;
+    std::uint64_t m_last_job_number = 0;
     timestamp m_now{0};
-    policy_figures m_figures;
-    std::uint64_t m_decisions = 0;
+    policy_metrics m_metrics;
+    std::uint64_t m_decision_count = 0;
     double m_decision_seconds = 0;
-    std::map<std::string, std::int64_t> m_up; ///< VMs that are up and serving, per pool.
-    bool m_wave_left = true;
-    bool m_counts_stale = true;
-    timestamp m_wave_over{0};
-    double m_buffer_ms = 0;
+    std::map<std::string, std::int64_t> m_serving_vms; ///< VMs that are up and serving, per pool.
+    bool m_has_wave_remaining = true;
+    bool m_are_counts_stale = true;
+    timestamp m_wave_ended_at{0};
+    double m_buffer_vm_ms = 0;
     double m_breach_vm_ms = 0;
 };
 
--- a/bench/load_bench.cpp
+++ b/bench/load_bench.cpp
@@ -14,14 +14,14 @@
 namespace {
 
 constexpr int vms = 3;
-constexpr int slots = 8;
+constexpr int slots_per_vm = 8;
 constexpr milliseconds service_time = 20ms;
 /// What the targets can run, by their slots and service time: 1200 requests a second.
-constexpr double capacity_per_second = vms * slots * 1000.0 / 20;
-constexpr milliseconds run_time = 6s;
-constexpr milliseconds death_at = 2s;
-constexpr milliseconds life_at = 4s;
-constexpr milliseconds caller_patience = 1s;
+constexpr double capacity_per_second = vms * slots_per_vm * 1000.0 / 20;
+constexpr milliseconds load_duration = 6s;
+constexpr milliseconds stop_target_after = 2s;
+constexpr milliseconds restart_target_after = 4s;
+constexpr milliseconds caller_deadline = 1s;
 
 struct load_result {
     double goodput = 0;
@@ -37,12 +37,12 @@
 /// meanwhile.
 class system_under_load {
   public:
-    explicit system_under_load(bool baseline, std::uint16_t base) : m_base(base) {
+    explicit system_under_load(bool baseline, std::uint16_t base_port) : m_base_port(base_port) {
         m_settings.id = "e1";
         m_settings.availability_zone = "a";
-        m_settings.callers = {"127.0.0.1", base};
-        m_settings.operators = {"127.0.0.1", static_cast<std::uint16_t>(base + 1)};
-        m_settings.peers = {"127.0.0.1", static_cast<std::uint16_t>(base + 2)};
+        m_settings.callers = {"127.0.0.1", base_port};
+        m_settings.operators = {"127.0.0.1", static_cast<std::uint16_t>(base_port + 1)};
+        m_settings.peers = {"127.0.0.1", static_cast<std::uint16_t>(base_port + 2)};
         m_settings.peer_key = std::string(40, 'k');
         m_settings.routing = baseline ? routing_policy::round_robin : routing_policy::two_choices;
         m_settings.admission_enabled = !baseline;
@@ -50,10 +50,10 @@
         m_settings.max_requests = 1024;
     }
 
-    void run(std::atomic<bool>& ready, const std::atomic<bool>& stop) {
+    void run(std::atomic<bool>& is_ready, const std::atomic<bool>& stop_requested) {
         event_loop loop;
         fakes::fake_platform platform(loop, 300ms);
-        if (!platform.listen({"127.0.0.1", static_cast<std::uint16_t>(m_base + 3)})) {
+        if (!platform.listen({"127.0.0.1", static_cast<std::uint16_t>(m_base_port + 3)})) {
             return;
         }
         platform.put("config",
@@ -72,46 +72,47 @@
             return;
         }
         process.start();
-        timestamp began{0};
-        bool dead = false;
-        bool back = false;
-        const std::unique_ptr<timer> turn = loop.make_timer([&] {
+        timestamp ready_since{0};
+        bool is_target_stopped = false;
+        bool is_target_restarted = false;
+        const std::unique_ptr<timer> poll_timer = loop.make_timer([&] {
             const std::string bytes = platform.value("fleet");
             const fleet_record fleet = boost::leaf::try_handle_all([&] { return decode_fleet(bytes); },
                                                                    [] { return fleet_record{}; });
             const auto serving = std::count_if(fleet.vms.begin(), fleet.vms.end(), [](const vm_record& vm) {
                 return vm.state == vm_state::serving;
             });
-            if (!ready && serving == vms) {
-                ready = true;
-                began = event_loop::now();
+            if (!is_ready && serving == vms) {
+                is_ready = true;
+                ready_since = event_loop::now();
             }
-            if (ready && !dead && event_loop::now() - began > death_at) {
-                dead = true;
+            if (is_ready && !is_target_stopped && event_loop::now() - ready_since > stop_target_after) {
+                is_target_stopped = true;
                 targets[0].reset();
             }
-            if (dead && !back && event_loop::now() - began > life_at) {
-                back = true;
+            if (is_target_stopped && !is_target_restarted &&
+                event_loop::now() - ready_since > restart_target_after) {
+                is_target_restarted = true;
                 targets[0] = make_target(loop, 0);
             }
-            if (stop) {
+            if (stop_requested) {
                 loop.stop();
             }
-            turn->start(20ms);
+            poll_timer->start(20ms);
         });
-        turn->start(20ms);
+        poll_timer->start(20ms);
         loop.run();
     }
 
   private:
-    std::unique_ptr<fakes::fake_vm> make_target(event_loop& loop, int number) const {
+    std::unique_ptr<fakes::fake_vm> make_target(event_loop& loop, int index) const {
         fakes::fake_vm_settings settings;
-        settings.id = "w" + std::to_string(number);
+        settings.id = "w" + std::to_string(index);
         settings.rack = settings.id;
-        settings.target = {"127.0.0.1", static_cast<std::uint16_t>(m_base + 10 + 2 * number)};
-        settings.agent_port = static_cast<std::uint16_t>(m_base + 11 + 2 * number);
+        settings.target = {"127.0.0.1", static_cast<std::uint16_t>(m_base_port + 10 + 2 * index)};
+        settings.agent_port = static_cast<std::uint16_t>(m_base_port + 11 + 2 * index);
         settings.platform = m_settings.platform;
-        settings.slots = slots;
+        settings.slots = slots_per_vm;
         settings.service_time = service_time;
         settings.reboot_time = 100ms;
         auto target = std::make_unique<fakes::fake_vm>(loop, settings);
@@ -119,75 +120,78 @@
         return target;
     }
 
-    std::uint16_t m_base;
+    std::uint16_t m_base_port;
     entry_settings m_settings;
 };
 
 /// Open loop: requests leave at fixed times whatever became of the earlier ones, and their latency counts
 /// from then.
-load_result drive(std::uint16_t port, std::uint16_t operators, double per_second) {
+load_result send_load(std::uint16_t port, std::uint16_t operators, double per_second) {
     event_loop loop;
     http_client_limits limits;
     limits.max_idle_per_endpoint = 256;
     http_client client(loop, limits);
-    const auto total = static_cast<std::int64_t>(per_second * static_cast<double>(run_time.count()) / 1000);
+    const auto total =
+        static_cast<std::int64_t>(per_second * static_cast<double>(load_duration.count()) / 1000);
     std::int64_t sent = 0;
-    std::int64_t ended = 0;
-    std::int64_t good = 0;
+    std::int64_t completed = 0;
+    std::int64_t answered_in_time = 0;
     load_result result;
     std::vector<double> latencies;
     const timestamp began = event_loop::now();
-    const std::unique_ptr<timer> turn = loop.make_timer([&] {
+    const std::unique_ptr<timer> send_timer = loop.make_timer([&] {
         const double passed = static_cast<double>((event_loop::now() - began).count()) / 1000;
         for (; sent < total && static_cast<double>(sent) / per_second <= passed; ++sent) {
             http_call call;
             call.to = {"127.0.0.1", port};
             call.target = "/x";
-            call.headers.add("Deadline-Ms", std::to_string(caller_patience.count()));
+            call.headers.add("Deadline-Ms", std::to_string(caller_deadline.count()));
             call.timeout = 3s;
-            const timestamp due =
+            const timestamp scheduled_at =
                 began +
                 milliseconds(static_cast<std::int64_t>(static_cast<double>(sent) * 1000 / per_second));
-            client.send(std::move(call), [&, due](const http_answer& answer) {
-                ++ended;
-                const milliseconds took = event_loop::now() - due;
-                const std::string_view told = answer.headers.get("Siskinpaddle-Outcome");
-                if (answer.status == exchange_status::answered && told == "not-run") {
+            client.send(std::move(call), [&, scheduled_at](const http_answer& answer) {
+                ++completed;
+                const milliseconds latency = event_loop::now() - scheduled_at;
+                const std::string_view outcome = answer.headers.get("Siskinpaddle-Outcome");
+                if (answer.status == exchange_status::answered && outcome == "not-run") {
                     ++result.refused;
-                } else if (answer.status != exchange_status::answered || !told.empty() ||
+                } else if (answer.status != exchange_status::answered || !outcome.empty() ||
                            answer.code != 200) {
                     ++result.unknown;
-                } else if (took > caller_patience) {
+                } else if (latency > caller_deadline) {
                     ++result.late; // Whole, but nobody waits for it any more.
                 } else {
-                    ++good;
-                    latencies.push_back(static_cast<double>(took.count()));
+                    ++answered_in_time;
+                    latencies.push_back(static_cast<double>(latency.count()));
                 }
             });
         }
-        if (ended == total || event_loop::now() - began > run_time + 5s) {
+        if (completed == total || event_loop::now() - began > load_duration + 5s) {
             loop.stop();
         }
-        turn->start(1ms);
+        send_timer->start(1ms);
     });
-    turn->start(0ms);
+    send_timer->start(0ms);
     loop.run();
     std::sort(latencies.begin(), latencies.end());
-    const auto at = [&](double q) {
-        return latencies.empty()
-                   ? 0
-                   : latencies[static_cast<std::size_t>(q * static_cast<double>(latencies.size() - 1))];
+    const auto latency_at = [&](double quantile) {
+        return latencies.empty() ? 0
+                                 : latencies[static_cast<std::size_t>(
+                                       quantile * static_cast<double>(latencies.size() - 1))];
     };
-    result.goodput = static_cast<double>(good) * 1000 / static_cast<double>(run_time.count());
-    result.p50_ms = at(0.5);
-    result.p99_ms = at(0.99);
+    result.goodput =
+        static_cast<double>(answered_in_time) * 1000 / static_cast<double>(load_duration.count());
+    result.p50_ms = latency_at(0.5);
+    result.p99_ms = latency_at(0.99);
     http_call metrics_call;
     metrics_call.to = {"127.0.0.1", operators};
     metrics_call.target = "/metrics";
     client.send(std::move(metrics_call), [&](const http_answer& answer) {
-        const std::size_t at_sends = answer.body.find("siskinpaddle_sends ");
-        const double sends =
-            at_sends == std::string::npos ? 0 : std::strtod(answer.body.c_str() + at_sends + 19, nullptr);
+        const std::size_t sends_position = answer.body.find("siskinpaddle_sends ");
+        const double sends = sends_position == std::string::npos
+                                 ? 0
+                                 : std::strtod(answer.body.c_str() + sends_position + 19, nullptr);
         result.sends_per_request = sends / static_cast<double>(total);
         loop.stop();
     });
@@ -201,27 +205,27 @@
 int main() {
     start_event_log("load", event_level::error);
     boost::json::object out;
-    auto base = static_cast<std::uint16_t>(10'000 + getpid() % 150 * 100);
+    auto base_port = static_cast<std::uint16_t>(10'000 + getpid() % 150 * 100);
     for (const double factor : {0.5, 1.0, 2.0, 5.0}) {
         boost::json::object row;
         for (const bool baseline : {true, false}) {
-            base = static_cast<std::uint16_t>(base + 30);
-            std::atomic<bool> ready = false;
-            std::atomic<bool> stop = false;
-            system_under_load system(baseline, base);
-            std::thread thread([&] { system.run(ready, stop); });
-            for (int i = 0; i < 1500 && !ready; ++i) {
+            base_port = static_cast<std::uint16_t>(base_port + 30);
+            std::atomic<bool> is_ready = false;
+            std::atomic<bool> stop_requested = false;
+            system_under_load system(baseline, base_port);
+            std::thread thread([&] { system.run(is_ready, stop_requested); });
+            for (int i = 0; i < 1500 && !is_ready; ++i) {
                 std::this_thread::sleep_for(10ms);
             }
-            const load_result r =
-                drive(base, static_cast<std::uint16_t>(base + 1), factor * capacity_per_second);
-            stop = true;
+            const load_result result =
+                send_load(base_port, static_cast<std::uint16_t>(base_port + 1), factor * capacity_per_second);
+            stop_requested = true;
             thread.join();
             row[baseline ? "baseline" : "ours"] = {
-                {"goodput", r.goodput}, {"p50_ms", r.p50_ms},
-                {"p99_ms", r.p99_ms},   {"sends_per_request", r.sends_per_request},
-                {"refused", r.refused}, {"unknown", r.unknown},
-                {"late", r.late}};
+                {"goodput", result.goodput}, {"p50_ms", result.p50_ms},
+                {"p99_ms", result.p99_ms},   {"sends_per_request", result.sends_per_request},
+                {"refused", result.refused}, {"unknown", result.unknown},
+                {"late", result.late}};
             std::cout << factor << "x " << (baseline ? "baseline " : "ours ")
                       << boost::json::serialize(row[baseline ? "baseline" : "ours"]) << std::endl;
         }
--- a/bench/policy_bench.cpp
+++ b/bench/policy_bench.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// Fixed spare for each pool, one VM of it at a time, first fit, jobs stopped when their VM's turn comes.
-policy_choice baseline() {
+policy_choice make_baseline_policy() {
     policy_choice choice;
     choice.name = "baseline";
     choice.planning.share_free_vms = false;
@@ -21,50 +21,50 @@
     choice.placing.first_fit = true;
     choice.placing.stop_all_on_leaving_vm = true;
     choice.placing.avoid_pending_wave = false;
-    choice.own_spare_percent = 10;
-    choice.own_spare_least = 2;
+    choice.spare_percent = 10;
+    choice.min_spare_vms = 2;
     return choice;
 }
 
 /// Ours, with the buffer weighed most: one spare of its own for each pool, the rest shared.
-policy_choice association(const fleet_shape& shape) {
+policy_choice make_association_policy(const fleet_shape& shape) {
     policy_choice choice;
     choice.name = "association";
     choice.planning = planner_options_for({4, 1});
-    choice.own_spare_least = 1;
-    choice.shared_free = shape.vms / 60;
-    choice.width_percent = 10;
-    choice.one_wave = true;
+    choice.min_spare_vms = 1;
+    choice.shared_free_vms = shape.vms / 60;
+    choice.wave_width_percent = 10;
+    choice.has_single_wave = true;
     return choice;
 }
 
 /// Ours, with moves weighed most: spares within the pools, patience with what may come back.
-policy_choice volta(const fleet_shape& shape) {
-    policy_choice choice = association(shape);
+policy_choice make_volta_policy(const fleet_shape& shape) {
+    policy_choice choice = make_association_policy(shape);
     choice.name = "volta";
     choice.planning = planner_options_for({1, 4});
     choice.placing = placement_options_for({1, 4});
-    choice.own_spare_least = 2;
+    choice.min_spare_vms = 2;
     return choice;
 }
 
-boost::json::object to_json(const policy_figures& f) {
-    return {{"buffer_ratio", f.buffer_ratio},
-            {"job_moves", f.job_moves},
-            {"vm_moves", f.vm_moves},
-            {"wave_hours", f.wave_hours},
-            {"planned_breaches", f.planned_breaches},
-            {"failure_breaches", f.failure_breaches},
-            {"late_urgent", f.late_urgent},
-            {"cpu_us_per_decision", f.cpu_us_per_decision},
-            {"failure_breach_vm_hours", f.failure_breach_vm_hours},
-            {"vms", f.vms},
-            {"promised", f.promised},
-            {"vms_maintained", f.vms_maintained},
-            {"jobs_done", f.jobs_done},
-            {"jobs_urgent", f.jobs_urgent},
-            {"jobs_refused", f.jobs_refused},
-            {"jobs_left", f.jobs_left}};
+boost::json::object to_json(const policy_metrics& metrics) {
+    return {{"buffer_ratio", metrics.buffer_ratio},
+            {"job_moves", metrics.job_moves},
+            {"vm_moves", metrics.vm_moves},
+            {"wave_hours", metrics.wave_hours},
+            {"planned_breaches", metrics.planned_breaches},
+            {"failure_breaches", metrics.failure_breaches},
+            {"late_urgent", metrics.late_urgent},
+            {"cpu_us_per_decision", metrics.cpu_us_per_decision},
+            {"failure_breach_vm_hours", metrics.failure_breach_vm_hours},
+            {"vms", metrics.vms},
+            {"promised", metrics.promised},
+            {"vms_maintained", metrics.vms_maintained},
+            {"jobs_done", metrics.jobs_done},
+            {"jobs_urgent", metrics.jobs_urgent},
+            {"jobs_refused", metrics.jobs_refused},
+            {"jobs_left", metrics.jobs_left}};
 }
 
 } // namespace
@@ -76,20 +76,22 @@
         TCLAP::ValueArg<std::uint64_t> seed("", "seed", "Seed of failures and jobs.", false, 1, "N", line);
         TCLAP::SwitchArg only_today("", "today", "Leave the two-year fleet out.", line);
         line.parse(argc, argv);
-        const fleet_shape today;
-        fleet_shape target;
-        target.vms = 870;
-        target.pools = 27;
-        std::map<std::string, std::map<std::string, policy_figures>> figures;
+        const fleet_shape current_shape;
+        fleet_shape projected_shape;
+        projected_shape.vms = 870;
+        projected_shape.pools = 27;
+        std::map<std::string, std::map<std::string, policy_metrics>> metrics;
         std::vector<std::thread> threads;
-        for (const auto& [name, shape] : {std::pair("today", today), std::pair("target", target)}) {
+        for (const auto& [name, shape] :
+             {std::pair("today", current_shape), std::pair("target", projected_shape)}) {
             if (only_today.getValue() && shape.vms > 100) {
                 continue;
             }
-            for (const policy_choice& choice : {baseline(), association(shape), volta(shape)}) {
-                policy_figures& slot = figures[name][choice.name];
-                threads.emplace_back([&slot, shape = shape, choice, number = seed.getValue()] {
-                    slot = fleet_model(shape, choice, number).run();
+            for (const policy_choice& choice :
+                 {make_baseline_policy(), make_association_policy(shape), make_volta_policy(shape)}) {
+                policy_metrics& result_metrics = metrics[name][choice.name];
+                threads.emplace_back([&result_metrics, shape = shape, choice, number = seed.getValue()] {
+                    result_metrics = fleet_model(shape, choice, number).run();
                 });
             }
         }
@@ -97,7 +99,7 @@
             thread.join();
         }
         boost::json::object result;
-        for (const auto& [fleet, policies] : figures) {
+        for (const auto& [fleet, policies] : metrics) {
             boost::json::object item;
             for (const auto& [name, values] : policies) {
                 item[name] = to_json(values);
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -13,14 +13,14 @@
 
 constexpr const char* credential = "slopes";
 
-struct process {
+struct entry_process {
     int pid = 0;
     endpoint callers;
     endpoint operators;
 };
 
 /// A process's own account.
-struct account {
+struct process_usage {
     double cpu_seconds = 0;
     double memory_mb = 0;
     std::map<std::string, double> counters;
@@ -28,11 +28,11 @@
 
 class probe {
   public:
-    probe(endpoint platform, std::vector<process> entries)
+    probe(endpoint platform, std::vector<entry_process> entries)
         : m_platform(std::move(platform)), m_entries(std::move(entries)) {}
 
-    http_answer ask(const endpoint& to, const std::string& target, const std::string& method = "GET",
-                    const std::string& body = {}) {
+    http_answer send_request(const endpoint& to, const std::string& target, const std::string& method = "GET",
+                             const std::string& body = {}) {
         http_answer result;
         http_call call;
         call.to = to;
@@ -51,19 +51,19 @@
     }
 
     void sleep(milliseconds time) {
-        const auto turn = m_loop.make_timer([this] { m_loop.stop(); });
-        turn->start(time);
+        const auto sleep_timer = m_loop.make_timer([this] { m_loop.stop(); });
+        sleep_timer->start(time);
         m_loop.run();
     }
 
-    fleet_record fleet() {
-        const std::string bytes = ask(m_platform, "/kv/fleet").body;
+    fleet_record read_fleet() {
+        const std::string bytes = send_request(m_platform, "/kv/fleet").body;
         return boost::leaf::try_handle_all([&] { return decode_fleet(bytes); },
                                            [] { return fleet_record{}; });
     }
 
-    std::int64_t health(const process& entry, const char* field) {
-        const http_answer answer = ask(entry.callers, "/siskinpaddle/health");
+    std::int64_t read_health_field(const entry_process& entry, const char* field) {
+        const http_answer answer = send_request(entry.callers, "/siskinpaddle/health");
         findings problems;
         const boost::json::value body = parse_json(answer.body, "", problems);
         if (answer.code != 200 || !problems.empty()) {
@@ -73,9 +73,9 @@
         return object.number(field, {0, INT64_MAX});
     }
 
-    bool all(const char* field, std::int64_t least) {
-        for (const process& entry : m_entries) {
-            if (health(entry, field) < least) {
+    bool have_all_entries_reached(const char* field, std::int64_t min_value) {
+        for (const entry_process& entry : m_entries) {
+            if (read_health_field(entry, field) < min_value) {
                 return false;
             }
         }
@@ -84,7 +84,7 @@
 
     /// Milliseconds until `condition` holds, or -1 after two minutes.
     template <typename Condition>
-    std::int64_t time_until(Condition condition) {
+    std::int64_t wait_until(Condition condition) {
         const timestamp began = event_loop::now();
         while (!condition()) {
             if (event_loop::now() - began > 2min) {
@@ -95,8 +95,8 @@
         return (event_loop::now() - began).count();
     }
 
-    account read(const process& entry) {
-        account result;
+    process_usage read_usage(const entry_process& entry) {
+        process_usage result;
         std::ifstream stat("/proc/" + std::to_string(entry.pid) + "/stat");
         std::string word;
         for (int i = 1; stat >> word && i <= 15; ++i) {
@@ -112,7 +112,7 @@
                 result.memory_mb = std::strtod(word.c_str(), nullptr) / 1024;
             }
         }
-        std::istringstream metrics(ask(entry.operators, "/metrics").body);
+        std::istringstream metrics(send_request(entry.operators, "/metrics").body);
         double value = 0;
         while (metrics >> word >> value) {
             result.counters[word] = value;
@@ -120,8 +120,8 @@
         return result;
     }
 
-    std::uint64_t planner_index() {
-        const std::string planner = fleet().planner;
+    std::uint64_t find_planner_index() {
+        const std::string planner = read_fleet().planner;
         for (std::size_t i = 0; i < m_entries.size(); ++i) {
             if (planner == "e" + std::to_string(i + 1)) {
                 return i;
@@ -130,7 +130,8 @@
         return 0;
     }
 
-    void print(const char* role, const account& before, const account& after, double seconds) {
+    void print_usage(const char* role, const process_usage& before, const process_usage& after,
+                     double seconds) {
         const auto rate = [&](const char* name) {
             const std::string key = std::string("siskinpaddle_") + name;
             const auto a = after.counters.find(key);
@@ -148,22 +149,24 @@
     }
 
     void measure_idle() {
-        const std::size_t planner = planner_index();
+        const std::size_t planner = find_planner_index();
         const std::size_t other = planner == 0 ? 1 : 0;
-        const account planner_before = read(m_entries[planner]);
-        const account other_before = read(m_entries[other]);
+        const process_usage planner_before = read_usage(m_entries[planner]);
+        const process_usage other_before = read_usage(m_entries[other]);
         constexpr milliseconds time = 10s;
         sleep(time);
         std::printf(" idle, %lld s:\n", static_cast<long long>(time.count() / 1000));
-        print("planner", planner_before, read(m_entries[planner]), static_cast<double>(time.count()) / 1000);
-        print("entry", other_before, read(m_entries[other]), static_cast<double>(time.count()) / 1000);
+        print_usage("planner", planner_before, read_usage(m_entries[planner]),
+                    static_cast<double>(time.count()) / 1000);
+        print_usage("entry", other_before, read_usage(m_entries[other]),
+                    static_cast<double>(time.count()) / 1000);
     }
 
-    std::int64_t patch(const std::string& merge) {
-        const std::int64_t number = health(m_entries[0], "config");
+    std::int64_t submit_patch(const std::string& merge) {
+        const std::int64_t number = read_health_field(m_entries[0], "config");
         const std::string body = R"({"against":)" + std::to_string(number) + R"(,"write_id":"s)" +
                                  std::to_string(number) + R"(","patch":)" + merge + "}";
-        const http_answer answer = ask(m_entries[0].operators, "/v1/patches", "POST", body);
+        const http_answer answer = send_request(m_entries[0].operators, "/v1/patches", "POST", body);
         return answer.code == 200 ? number + 1 : -1;
     }
 
@@ -171,8 +174,8 @@
         std::vector<std::int64_t> times;
         for (int i = 0; i < 5; ++i) {
             const std::int64_t number =
-                patch(R"({"pools":{"p0":{"max_queue":)" + std::to_string(200 + i) + "}}}");
-            times.push_back(time_until([&] { return all("config", number); }));
+                submit_patch(R"({"pools":{"p0":{"max_queue":)" + std::to_string(200 + i) + "}}}");
+            times.push_back(wait_until([&] { return have_all_entries_reached("config", number); }));
         }
         std::sort(times.begin(), times.end());
         std::printf(" configuration in force everywhere: median %lld ms, worst %lld ms of 5\n",
@@ -180,42 +183,43 @@
     }
 
     void measure_wave(std::size_t vms) {
-        const std::size_t planner = planner_index();
+        const std::size_t planner = find_planner_index();
         const std::size_t other = planner == 0 ? 1 : 0;
-        const account planner_before = read(m_entries[planner]);
-        const account other_before = read(m_entries[other]);
-        const std::uint64_t revision = fleet().revision;
-        (void)patch(R"({"waves":{"w":{"pool":"*","order":1,"width":)" +
-                    std::to_string(std::max<std::size_t>(2, vms / 20)) + "}}}");
+        const process_usage planner_before = read_usage(m_entries[planner]);
+        const process_usage other_before = read_usage(m_entries[other]);
+        const std::uint64_t revision = read_fleet().revision;
+        (void)submit_patch(R"({"waves":{"w":{"pool":"*","order":1,"width":)" +
+                           std::to_string(std::max<std::size_t>(2, vms / 20)) + "}}}");
         constexpr milliseconds window = 40s;
         sleep(window);
-        const fleet_record record = fleet();
+        const fleet_record record = read_fleet();
         const auto done = std::count_if(record.vms.begin(), record.vms.end(),
                                         [](const vm_record& vm) { return vm.completed_wave == 1; });
         const double seconds = static_cast<double>(window.count()) / 1000;
         std::printf(" wave with instant reboots under way, 40 s: %lld VMs maintained, %llu fleet revisions\n",
                     static_cast<long long>(done),
                     static_cast<unsigned long long>(record.revision - revision));
-        print("planner", planner_before, read(m_entries[planner]), seconds);
-        print("entry", other_before, read(m_entries[other]), seconds);
+        print_usage("planner", planner_before, read_usage(m_entries[planner]), seconds);
+        print_usage("entry", other_before, read_usage(m_entries[other]), seconds);
     }
 
-    bool settle(std::size_t vms) {
-        return time_until([&] {
-                   const fleet_record record = fleet();
-                   const auto at_work =
+    bool wait_until_serving(std::size_t vms) {
+        return wait_until([&] {
+                   const fleet_record record = read_fleet();
+                   const auto in_service =
                        std::count_if(record.vms.begin(), record.vms.end(), [](const vm_record& vm) {
                            return vm.state == vm_state::serving || vm.state == vm_state::free;
                        });
                    return record.entries.size() == m_entries.size() &&
-                          at_work == static_cast<std::int64_t>(vms) &&
-                          record.find_vm("w10000")->state == vm_state::serving && all("config", 1);
+                          in_service == static_cast<std::int64_t>(vms) &&
+                          record.find_vm("w10000")->state == vm_state::serving &&
+                          have_all_entries_reached("config", 1);
                }) >= 0;
     }
 
-    std::int64_t calls_at_store() {
+    std::int64_t count_store_calls() {
         findings problems;
-        const boost::json::value body = parse_json(ask(m_platform, "/control").body, "", problems);
+        const boost::json::value body = parse_json(send_request(m_platform, "/control").body, "", problems);
         std::int64_t calls = 0;
         if (const auto* callers = body.if_object()) {
             for (const auto& caller : *callers) {
@@ -227,17 +231,17 @@
         return calls;
     }
 
-    [[nodiscard]] const std::vector<process>& entries() const { return m_entries; }
+    [[nodiscard]] const std::vector<entry_process>& entries() const { return m_entries; }
 
   private:
     event_loop m_loop;
     http_client m_client{m_loop};
     endpoint m_platform;
-    std::vector<process> m_entries;
+    std::vector<entry_process> m_entries;
 };
 
 /// The document for a fleet of this size: four fifths of the VMs promised, an equal share for each pool.
-std::string document(int vms, int pools, const std::string& digest) {
+std::string make_document(int vms, int pools, const std::string& digest) {
     boost::json::object pool_items;
     boost::json::object services;
     boost::json::object routes;
@@ -256,7 +260,7 @@
         boost::json::object{{"number", 1}, {"document", root}, {"history", boost::json::array()}});
 }
 
-double cpu_us(const std::function<void()>& action, int times) {
+double measure_cpu_us(const std::function<void()>& action, int times) {
     const auto now = [] {
         timespec time{};
         clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
@@ -275,11 +279,11 @@
     configuration config;
     findings problems;
     const stored_configuration stored =
-        decode_stored_configuration(document(vms, pools, std::string(64, '0')), problems);
+        decode_stored_configuration(make_document(vms, pools, std::string(64, '0')), problems);
     config = parse_configuration(1, stored.document, problems);
     fleet_record fleet;
-    observations seen;
-    seen.is_list_known = true;
+    observations observed;
+    observed.is_list_known = true;
     for (int i = 0; i < vms; ++i) {
         vm_record vm;
         vm.id = "w" + std::to_string(10'000 + i);
@@ -291,19 +295,19 @@
         vm.pool = "p" + std::to_string(i % pools);
         vm.state = vm_state::serving;
         vm.boot_count = 1;
-        seen.listed_vms[vm.id].id = vm.id;
-        seen.listed_vms[vm.id].boot_count = 1;
+        observed.listed_vms[vm.id].id = vm.id;
+        observed.listed_vms[vm.id].boot_count = 1;
         fleet.vms.push_back(vm);
     }
     for (int i = 0; i < 8; ++i) {
         const std::string id = "e" + std::to_string(i);
         fleet.put_entry(
             {id, std::string(1, static_cast<char>('a' + i % 4)), "10.1.2.4", 1, "10.1.2.4", 2, 1});
-        seen.entries[id].incarnation = 1;
-        seen.entries[id].applied_fleet = 1;
+        observed.entries[id].incarnation = 1;
+        observed.entries[id].applied_fleet = 1;
     }
     fleet.revision = 1;
-    planner planning;
+    planner fleet_planner;
     target_table targets("a", routing_policy::two_choices);
     fleet_record next = fleet;
     next.revision = 2;
@@ -321,13 +325,13 @@
     const std::map<std::string, worker_health> workers;
     const placement_input input{config, fleet, "p0", jobs, usage, workers, {}, {}, 1s};
     timestamp now{1s};
-    const auto step = [&] {
+    const auto run_step = [&] {
         now += 1ms;
-        seen.list_read_at = now;
-        for (auto& [id, report] : seen.entries) {
+        observed.list_read_at = now;
+        for (auto& [id, report] : observed.entries) {
             report.received_at = now;
         }
-        (void)planning.step(config, fleet, seen, now);
+        (void)fleet_planner.step(config, fleet, observed, now);
     };
     const std::string bytes = encode_fleet(fleet);
     std::printf(
@@ -336,15 +340,16 @@
         "job %.0f B\n",
         vms, pools, bytes.size(), static_cast<double>(bytes.size()) / vms,
         encode_archive(make_delta(fleet, next)).size(), encode_stored_configuration(stored).size(),
-        cpu_us(step, 50), cpu_us([&] { (void)encode_fleet(fleet); }, 50),
-        cpu_us(
+        measure_cpu_us(run_step, 50), measure_cpu_us([&] { (void)encode_fleet(fleet); }, 50),
+        measure_cpu_us(
             [&] {
                 (void)boost::leaf::try_handle_all([&] { return decode_fleet(bytes); },
                                                   [] { return fleet_record{}; });
             },
             50),
-        cpu_us([&] { (void)make_delta(fleet, next); }, 50),
-        cpu_us([&] { targets.apply(config, fleet, now); }, 50), cpu_us([&] { (void)place_jobs(input); }, 20),
+        measure_cpu_us([&] { (void)make_delta(fleet, next); }, 50),
+        measure_cpu_us([&] { targets.apply(config, fleet, now); }, 50),
+        measure_cpu_us([&] { (void)place_jobs(input); }, 20),
         static_cast<double>(encode_jobs(jobs).size()) / 200);
 }
 
@@ -362,7 +367,7 @@
         return 0;
     }
     if (mode == "document" && argc == 5) {
-        std::cout << document(std::atoi(argv[2]), std::atoi(argv[3]), argv[4]);
+        std::cout << make_document(std::atoi(argv[2]), std::atoi(argv[3]), argv[4]);
         return 0;
     }
     if ((mode != "measure" && mode != "storm") || argc < 5) {
@@ -371,30 +376,32 @@
                "(PID CALLERS OPERATORS)...\n";
         return 2;
     }
-    std::vector<process> entries;
+    std::vector<entry_process> entries;
     for (int i = 4; i + 2 < argc; i += 3) {
         entries.push_back({std::atoi(argv[i]),
                            {"127.0.0.1", static_cast<std::uint16_t>(std::atoi(argv[i + 1]))},
                            {"127.0.0.1", static_cast<std::uint16_t>(std::atoi(argv[i + 2]))}});
     }
     const auto vms = static_cast<std::size_t>(std::atoi(argv[3]));
-    probe p({"127.0.0.1", static_cast<std::uint16_t>(std::atoi(argv[2]))}, entries);
+    probe entry_probe({"127.0.0.1", static_cast<std::uint16_t>(std::atoi(argv[2]))}, entries);
     if (mode == "storm") {
-        const std::int64_t calls = p.calls_at_store();
-        const std::int64_t took = p.time_until([&] { return p.all("fleet", 1); });
-        const std::int64_t made = p.calls_at_store() - calls;
+        const std::int64_t calls_before = entry_probe.count_store_calls();
+        const std::int64_t duration_ms =
+            entry_probe.wait_until([&] { return entry_probe.have_all_entries_reached("fleet", 1); });
+        const std::int64_t calls_made = entry_probe.count_store_calls() - calls_before;
         std::printf(
             " restart storm: all %zu entries serve after %lld ms; %lld calls at the store (%.0f a second)\n",
-            entries.size(), static_cast<long long>(took), static_cast<long long>(made),
-            static_cast<double>(made) * 1000 / static_cast<double>(std::max<std::int64_t>(1, took)));
-        return took < 0 ? 1 : 0;
+            entries.size(), static_cast<long long>(duration_ms), static_cast<long long>(calls_made),
+            static_cast<double>(calls_made) * 1000 /
+                static_cast<double>(std::max<std::int64_t>(1, duration_ms)));
+        return duration_ms < 0 ? 1 : 0;
     }
-    if (!p.settle(vms)) {
+    if (!entry_probe.wait_until_serving(vms)) {
         std::cerr << "the fleet did not settle\n";
         return 1;
     }
-    p.measure_idle();
-    p.measure_rollout();
-    p.measure_wave(vms);
+    entry_probe.measure_idle();
+    entry_probe.measure_rollout();
+    entry_probe.measure_wave(vms);
     return 0;
 }
--- a/control/planner_task.cpp
+++ b/control/planner_task.cpp
@@ -55,7 +55,7 @@
         m_summary.holds_control_lease = held;
         m_planner = planner();
         m_observations = {};
-        m_platform.forget_list();
+        m_platform.reset_list_tag();
         m_lease_wait_starts.clear();
         m_placed.clear();
     }
@@ -76,19 +76,18 @@
     m_renewing = true;
     // Counted from before the call: the platform's time-to-live can only have begun later.
     const timestamp requested_at = event_loop::now();
-    m_platform.acquire_lease(std::string(control_lease_name), control_lease_duration,
-                             [this, requested_at](const lease_answer& answer) {
-                                 m_renewing = false;
-                                 const auto entries =
-                                     static_cast<std::int64_t>(m_state.fleet().entries.size());
-                                 const milliseconds attempt_interval = std::max<milliseconds>(
-                                     min_lease_attempt_interval, entries * lease_attempt_interval_per_entry);
-                                 m_next_renewal_at =
-                                     requested_at + (answer.held ? lease_renewal_interval : attempt_interval);
-                                 if (answer.held) {
-                                     m_lease_expires_at = requested_at + control_lease_duration;
-                                 }
-                             });
+    m_platform.acquire_lease(
+        std::string(control_lease_name), control_lease_duration,
+        [this, requested_at](const lease_answer& answer) {
+            m_renewing = false;
+            const auto entries = static_cast<std::int64_t>(m_state.fleet().entries.size());
+            const milliseconds attempt_interval = std::max<milliseconds>(
+                min_lease_attempt_interval, entries * lease_attempt_interval_per_entry);
+            m_next_renewal_at = requested_at + (answer.is_held ? lease_renewal_interval : attempt_interval);
+            if (answer.is_held) {
+                m_lease_expires_at = requested_at + control_lease_duration;
+            }
+        });
 }
 
 void planner_task::read_vm_list() {
--- a/demo/caller_fleet.cpp
+++ b/demo/caller_fleet.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr milliseconds check_interval = 100ms;
-constexpr int most_balancer_tries = 4;
+constexpr int max_balancer_attempts = 4;
 
 } // namespace
 
@@ -21,14 +21,14 @@
     send_next();
 }
 
-std::size_t caller_fleet::pending() const {
-    return static_cast<std::size_t>(std::count_if(m_notes.begin(), m_notes.end(), [](const auto& item) {
+std::size_t caller_fleet::count_pending() const {
+    return static_cast<std::size_t>(std::count_if(m_requests.begin(), m_requests.end(), [](const auto& item) {
         return item.second.outcome == caller_outcome::pending;
     }));
 }
 
-std::size_t caller_fleet::ready_entries() const {
-    return m_configs.size();
+std::size_t caller_fleet::count_ready_entries() const {
+    return m_config_numbers.size();
 }
 
 void caller_fleet::check_entries() {
@@ -43,9 +43,9 @@
             const boost::json::value body = parse_json(answer.body, "", problems);
             if (answer.status == exchange_status::answered && answer.code == 200 && problems.empty()) {
                 json_object object(body, "", problems);
-                m_configs[entry] = object.number("config", {0, INT64_MAX});
+                m_config_numbers[entry] = object.number("config", {0, INT64_MAX});
             } else {
-                m_configs.erase(entry);
+                m_config_numbers.erase(entry);
             }
         });
     }
@@ -57,22 +57,24 @@
         return;
     }
     m_send_timer->start(m_interval);
-    if (m_configs.empty()) {
+    if (m_config_numbers.empty()) {
         return;
     }
-    const caller_path& path = m_paths[m_next % m_paths.size()];
-    const std::string id = "r" + std::to_string(m_next++);
-    m_notes[id] = {path.pool, path.repeatable, caller_outcome::pending, true};
+    const caller_path& path = m_paths[m_next_id % m_paths.size()];
+    const std::string id = "r" + std::to_string(m_next_id++);
+    m_requests[id] = {path.pool, path.is_repeatable, caller_outcome::pending, true};
     send(id, path, 1);
 }
 
-void caller_fleet::send(const std::string& id, const caller_path& path, int tries) {
-    if (m_configs.empty()) {
-        m_notes[id].outcome = caller_outcome::not_run;
+void caller_fleet::send(const std::string& id, const caller_path& path, int attempt) {
+    if (m_config_numbers.empty()) {
+        m_requests[id].outcome = caller_outcome::not_run;
         return;
     }
     http_call call;
-    call.to = std::next(m_configs.begin(), static_cast<long>(m_random.next_below(m_configs.size())))->first;
+    call.to =
+        std::next(m_config_numbers.begin(), static_cast<long>(m_random.next_below(m_config_numbers.size())))
+            ->first;
     call.method = path.method;
     call.target = path.target;
     call.headers.add("Caller-Request", id);
@@ -80,22 +82,22 @@
     call.body = path.method == "GET" ? "" : "body of " + id;
     call.timeout = 8s;
     call.fresh_connection = true;
-    m_client.send(std::move(call), [this, id, path, tries](const http_answer& answer) {
+    m_client.send(std::move(call), [this, id, path, attempt](const http_answer& answer) {
         // A balancer tries another entry when a connection can't be made; nothing was sent then.
-        if (answer.status == exchange_status::connect_failed && tries < most_balancer_tries) {
-            send(id, path, tries + 1);
+        if (answer.status == exchange_status::connect_failed && attempt < max_balancer_attempts) {
+            send(id, path, attempt + 1);
             return;
         }
-        note(id, answer);
+        record_answer(id, answer);
     });
 }
 
-void caller_fleet::note(const std::string& id, const http_answer& answer) {
-    caller_note& item = m_notes[id];
-    const std::string_view told = answer.headers.get("Siskinpaddle-Outcome");
-    if (answer.status == exchange_status::connect_failed || told == "not-run") {
+void caller_fleet::record_answer(const std::string& id, const http_answer& answer) {
+    request_record& item = m_requests[id];
+    const std::string_view outcome = answer.headers.get("Siskinpaddle-Outcome");
+    if (answer.status == exchange_status::connect_failed || outcome == "not-run") {
         item.outcome = caller_outcome::not_run;
-    } else if (answer.status != exchange_status::answered || told == "unknown") {
+    } else if (answer.status != exchange_status::answered || outcome == "unknown") {
         item.outcome = caller_outcome::unknown;
     } else {
         item.outcome = caller_outcome::answered;
--- a/demo/session.cpp
+++ b/demo/session.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr milliseconds step_interval = 50ms;
-constexpr milliseconds session_bound = 110s;
+constexpr milliseconds poll_interval = 50ms;
+constexpr milliseconds session_timeout = 110s;
 constexpr std::string_view credential = "association-credential-for-this-demonstration";
 
 /// Where the session's processes are; written by demo/run.sh.
@@ -58,147 +58,149 @@
           m_callers(loop, m_settings.callers,
                     {{"GET", "/quotes/fare", "quotes", true}, {"POST", "/seats/confirm", "seats", false}},
                     8ms),
-          m_ledger(loop, m_settings.platform), m_client(loop), m_timer(loop.make_timer([this] { step(); })),
-          m_started(event_loop::now()) {}
+          m_ledger(loop, m_settings.platform), m_client(loop),
+          m_timer(loop.make_timer([this] { run_current_step(); })), m_started(event_loop::now()) {}
 
     void start() {
-        say("waiting for entries and pools");
+        print_progress("waiting for entries and pools");
         m_callers.check_entries();
         m_ledger.start();
-        step();
+        run_current_step();
     }
 
     [[nodiscard]] int result() const { return m_result; }
 
   private:
-    struct stage {
+    struct demo_step {
         const char* name;
         void (session::*begin)();
-        bool (session::*over)();
+        bool (session::*is_over)();
     };
 
-    static const std::vector<stage>& stages() {
-        static const std::vector<stage> all{
-            {"start", &session::nothing, &session::pools_serve},
-            {"callers", &session::start_callers, &session::answered},
-            {"jobs", &session::submit_jobs, &session::answered},
-            {"patch", &session::submit_good_patch, &session::patch_everywhere},
-            {"stale patch", &session::submit_stale_patch, &session::answered},
-            {"wave", &session::start_wave, &session::wave_over},
-            {"move", &session::start_move, &session::move_over},
-            {"target killed", &session::kill_target, &session::pools_whole},
-            {"entry frozen", &session::freeze_entry, &session::entry_thawed},
-            {"entry killed", &session::kill_entry, &session::entry_removed},
-            {"entry stopped", &session::stop_entry, &session::entry_removed},
-            {"jobs end", &session::nothing, &session::jobs_over},
-            {"end", &session::stop_callers, &session::callers_quiet},
+    static const std::vector<demo_step>& steps() {
+        static const std::vector<demo_step> all{
+            {"start", &session::do_nothing, &session::are_pools_serving},
+            {"callers", &session::start_callers, &session::are_all_answered},
+            {"jobs", &session::submit_jobs, &session::are_all_answered},
+            {"patch", &session::submit_good_patch, &session::is_patch_in_force},
+            {"stale patch", &session::submit_stale_patch, &session::are_all_answered},
+            {"wave", &session::start_wave, &session::has_wave_ended},
+            {"move", &session::start_move, &session::has_move_ended},
+            {"target killed", &session::kill_target, &session::are_pools_full},
+            {"entry frozen", &session::pause_entry, &session::resume_entry_when_due},
+            {"entry killed", &session::kill_entry, &session::is_entry_removed},
+            {"entry stopped", &session::stop_entry, &session::is_entry_removed},
+            {"jobs end", &session::do_nothing, &session::have_jobs_ended},
+            {"end", &session::stop_callers, &session::are_callers_idle},
         };
         return all;
     }
 
-    void say(const std::string& text) const {
+    void print_progress(const std::string& text) const {
         std::cout << "[" << (event_loop::now() - m_started).count() << " ms] " << text << std::endl;
     }
 
-    void step() {
-        if (event_loop::now() - m_started > session_bound) {
-            say(std::string("FAILED: step '") + stages()[m_stage].name + "' is not over in time");
-            m_late = true;
+    void run_current_step() {
+        if (event_loop::now() - m_started > session_timeout) {
+            print_progress(std::string("FAILED: step '") + steps()[m_step_index].name +
+                           "' is not over in time");
+            m_timed_out = true;
             finish();
             return;
         }
-        if (!m_begun) {
-            m_begun = true;
-            m_stage_since = event_loop::now();
-            (this->*stages()[m_stage].begin)();
-        } else if ((this->*stages()[m_stage].over)()) {
-            say(std::string("step '") + stages()[m_stage].name + "' over after " +
-                std::to_string((event_loop::now() - m_stage_since).count()) + " ms");
-            m_begun = false;
-            if (++m_stage == stages().size()) {
+        if (!m_is_step_started) {
+            m_is_step_started = true;
+            m_step_started_at = event_loop::now();
+            (this->*steps()[m_step_index].begin)();
+        } else if ((this->*steps()[m_step_index].is_over)()) {
+            print_progress(std::string("step '") + steps()[m_step_index].name + "' over after " +
+                           std::to_string((event_loop::now() - m_step_started_at).count()) + " ms");
+            m_is_step_started = false;
+            if (++m_step_index == steps().size()) {
                 finish();
                 return;
             }
         }
-        m_timer->start(step_interval);
+        m_timer->start(poll_interval);
     }
 
-    void nothing() {}
+    void do_nothing() {}
 
-    [[nodiscard]] bool pools_whole() {
+    [[nodiscard]] bool are_pools_full() {
         for (const auto& [name, pool] : m_ledger.config().pools) {
-            if (m_ledger.serving(name) < pool.size) {
+            if (m_ledger.count_serving(name) < pool.size) {
                 return false;
             }
         }
         return m_ledger.config().number > 0;
     }
 
-    [[nodiscard]] bool pools_serve() {
-        return pools_whole() && m_callers.ready_entries() == m_settings.callers.size();
+    [[nodiscard]] bool are_pools_serving() {
+        return are_pools_full() && m_callers.count_ready_entries() == m_settings.callers.size();
     }
 
-    void ask(const std::string& method, const std::string& target, const boost::json::value& body,
-             int expected) {
-        m_waiting_answers += 1;
+    void send_request(const std::string& method, const std::string& target, const boost::json::value& body,
+                      int expected) {
+        m_pending_answers += 1;
         http_call call;
-        call.to = m_settings.operators[m_operator];
+        call.to = m_settings.operators[m_operator_index];
         call.method = method;
         call.target = target;
         call.headers.add("Authorization", "Bearer " + std::string(credential));
         call.body = boost::json::serialize(body);
         call.timeout = 10s;
         m_client.send(std::move(call), [this, target, expected](const http_answer& answer) {
-            m_waiting_answers -= 1;
-            m_wrong_answers += answer.code == expected ? 0 : 1;
-            say(target + " answered " + std::to_string(answer.code) + " (expected " +
-                std::to_string(expected) + "): " + answer.body.substr(0, 200));
+            m_pending_answers -= 1;
+            m_unexpected_answers += answer.code == expected ? 0 : 1;
+            print_progress(target + " answered " + std::to_string(answer.code) + " (expected " +
+                           std::to_string(expected) + "): " + answer.body.substr(0, 200));
         });
     }
 
-    [[nodiscard]] bool answered() { return m_waiting_answers == 0; }
+    [[nodiscard]] bool are_all_answered() { return m_pending_answers == 0; }
 
-    void patch(const boost::json::value& merge, std::uint64_t against, int expected) {
+    void submit_patch(const boost::json::value& merge, std::uint64_t base_number, int expected) {
         m_patched_at = event_loop::now();
-        ask("POST", "/v1/patches",
-            boost::json::object{
-                {"against", against}, {"write_id", "demo-" + std::to_string(++m_patches)}, {"patch", merge}},
-            expected);
+        send_request("POST", "/v1/patches",
+                     boost::json::object{{"against", base_number},
+                                         {"write_id", "demo-" + std::to_string(++m_patch_count)},
+                                         {"patch", merge}},
+                     expected);
     }
 
     void submit_jobs() {
         for (int i = 0; i < 8; ++i) {
-            ask("POST", "/v1/jobs",
-                boost::json::object{{"pool", i % 2 == 0 ? "quotes" : "seats"},
-                                    {"id", "job-" + std::to_string(i)},
-                                    {"team", "night"},
-                                    {"kind", "settlement"},
-                                    {"urgency", i % 4 == 0 ? "urgent" : "patient"},
-                                    {"cpu_millicores", 2000},
-                                    {"memory_mb", 1000},
-                                    {"expected_ms", 12'000}},
-                200);
+            send_request("POST", "/v1/jobs",
+                         boost::json::object{{"pool", i % 2 == 0 ? "quotes" : "seats"},
+                                             {"id", "job-" + std::to_string(i)},
+                                             {"team", "night"},
+                                             {"kind", "settlement"},
+                                             {"urgency", i % 4 == 0 ? "urgent" : "patient"},
+                                             {"cpu_millicores", 2000},
+                                             {"memory_mb", 1000},
+                                             {"expected_ms", 12'000}},
+                         200);
         }
-        ask("POST", "/v1/jobs",
-            boost::json::object{{"pool", "quotes"},
-                                {"id", "job-too-large"},
-                                {"team", "night"},
-                                {"cpu_millicores", 9'000'000},
-                                {"memory_mb", 1000}},
-            200);
+        send_request("POST", "/v1/jobs",
+                     boost::json::object{{"pool", "quotes"},
+                                         {"id", "job-too-large"},
+                                         {"team", "night"},
+                                         {"cpu_millicores", 9'000'000},
+                                         {"memory_mb", 1000}},
+                     200);
     }
 
     void submit_good_patch() {
-        m_number = m_ledger.config().number;
-        patch({{"pools", {{"quotes", {{"max_queue", 200}}}}}}, m_number, 200);
+        m_config_number = m_ledger.config().number;
+        submit_patch({{"pools", {{"quotes", {{"max_queue", 200}}}}}}, m_config_number, 200);
     }
 
-    [[nodiscard]] bool patch_everywhere() {
-        if (!answered() || m_callers.configs().size() < m_settings.callers.size()) {
+    [[nodiscard]] bool is_patch_in_force() {
+        if (!are_all_answered() || m_callers.config_numbers().size() < m_settings.callers.size()) {
             return false;
         }
-        for (const auto& [entry, number] : m_callers.configs()) {
-            if (number <= static_cast<std::int64_t>(m_number)) {
+        for (const auto& [entry, number] : m_callers.config_numbers()) {
+            if (number <= static_cast<std::int64_t>(m_config_number)) {
                 return false;
             }
         }
@@ -206,14 +208,17 @@
         return true;
     }
 
-    void submit_stale_patch() { patch({{"pools", {{"quotes", {{"max_queue", 300}}}}}}, m_number, 409); }
+    void submit_stale_patch() {
+        submit_patch({{"pools", {{"quotes", {{"max_queue", 300}}}}}}, m_config_number, 409);
+    }
 
     void start_wave() {
-        patch({{"waves", {{"autumn", {{"pool", "seats"}, {"order", 1}, {"width", 1}}}}}}, m_number + 1, 200);
+        submit_patch({{"waves", {{"autumn", {{"pool", "seats"}, {"order", 1}, {"width", 1}}}}}},
+                     m_config_number + 1, 200);
     }
 
-    [[nodiscard]] bool wave_over() {
-        if (!answered() || m_ledger.config().waves.empty()) {
+    [[nodiscard]] bool has_wave_ended() {
+        if (!are_all_answered() || m_ledger.config().waves.empty()) {
             return false;
         }
         for (const vm_record& vm : m_ledger.fleet().vms) {
@@ -226,11 +231,13 @@
     }
 
     void start_move() {
-        patch({{"pools", {{"quotes", {{"size", 2}}}, {"seats", {{"size", 4}}}}}}, m_number + 2, 200);
+        submit_patch({{"pools", {{"quotes", {{"size", 2}}}, {"seats", {{"size", 4}}}}}}, m_config_number + 2,
+                     200);
     }
 
-    [[nodiscard]] bool move_over() {
-        return answered() && m_ledger.serving("quotes") == 2 && m_ledger.serving("seats") >= 4;
+    [[nodiscard]] bool has_move_ended() {
+        return are_all_answered() && m_ledger.count_serving("quotes") == 2 &&
+               m_ledger.count_serving("seats") >= 4;
     }
 
     void kill_target() {
@@ -240,8 +247,8 @@
             }
             for (const auto& [name, pid] : m_settings.vm_pids) {
                 if (name == vm.id) {
-                    say("kill target " + name);
-                    m_ledger.note_killed(name);
+                    print_progress("kill target " + name);
+                    m_ledger.mark_killed(name);
                     kill(pid, SIGKILL);
                     return;
                 }
@@ -250,34 +257,34 @@
     }
 
     /// A frozen process still holds its ports, so nothing may take it for gone; it wakes and serves again.
-    void freeze_entry() {
-        say("freeze entry 0 for 5 s");
-        m_entries_left = m_ledger.fleet().entries.size();
+    void pause_entry() {
+        print_progress("freeze entry 0 for 5 s");
+        m_expected_entries = m_ledger.fleet().entries.size();
         kill(m_settings.entry_pids.front(), SIGSTOP);
     }
 
-    [[nodiscard]] bool entry_thawed() {
-        if (event_loop::now() - m_stage_since < 5s) {
+    [[nodiscard]] bool resume_entry_when_due() {
+        if (event_loop::now() - m_step_started_at < 5s) {
             return false;
         }
         kill(m_settings.entry_pids.front(), SIGCONT);
-        m_wrong_answers += m_ledger.fleet().entries.size() < m_entries_left ? 1 : 0;
-        return m_callers.ready_entries() == m_settings.entry_pids.size();
+        m_unexpected_answers += m_ledger.fleet().entries.size() < m_expected_entries ? 1 : 0;
+        return m_callers.count_ready_entries() == m_settings.entry_pids.size();
     }
 
     void signal_last_entry(int signal) {
         const std::size_t index = m_settings.entry_pids.size() - 1;
-        say("signal " + std::to_string(signal) + " to entry " + std::to_string(index));
-        m_entries_left = m_ledger.fleet().entries.size() - 1;
+        print_progress("signal " + std::to_string(signal) + " to entry " + std::to_string(index));
+        m_expected_entries = m_ledger.fleet().entries.size() - 1;
         kill(m_settings.entry_pids[index], signal);
         m_settings.entry_pids.pop_back();
     }
 
     void kill_entry() { signal_last_entry(SIGKILL); }
     void stop_entry() { signal_last_entry(SIGTERM); }
-    [[nodiscard]] bool entry_removed() { return m_ledger.fleet().entries.size() == m_entries_left; }
+    [[nodiscard]] bool is_entry_removed() { return m_ledger.fleet().entries.size() == m_expected_entries; }
 
-    [[nodiscard]] bool jobs_over() {
+    [[nodiscard]] bool have_jobs_ended() {
         int ended = 0;
         int parked = 0;
         for (const char* pool : {"quotes", "seats"}) {
@@ -291,29 +298,30 @@
 
     void start_callers() { m_callers.start(); }
     void stop_callers() { m_callers.stop(); }
-    [[nodiscard]] bool callers_quiet() { return m_callers.pending() == 0; }
+    [[nodiscard]] bool are_callers_idle() { return m_callers.count_pending() == 0; }
 
     void finish() {
-        const request_sums sums = sum_requests(m_callers.notes(), m_settings.target_logs);
-        const boost::json::object line{{"requests", sums.requests},
-                                       {"answered", sums.answered},
-                                       {"not_run", sums.not_run},
-                                       {"unknown", sums.unknown},
-                                       {"lost", sums.lost},
-                                       {"doubled", sums.doubled},
-                                       {"cut", sums.cut},
-                                       {"wrong_pool", sums.wrong_pool},
-                                       {"false_not_run", sums.false_not_run},
-                                       {"budget_breaches", m_ledger.breaches()},
-                                       {"config_rollout_ms", m_rollout_ms},
-                                       {"wave_ms", m_wave_ms},
-                                       {"moves", m_ledger.moves() + m_ledger.job_moves()},
-                                       {"buffer_vm_seconds", m_ledger.buffer_vm_seconds()}};
-        std::cout << boost::json::serialize(line) << std::endl;
-        const bool breach = sums.lost + sums.doubled + sums.cut + sums.wrong_pool + sums.false_not_run +
-                                m_ledger.breaches() + m_wrong_answers >
-                            0;
-        m_result = breach || m_late || sums.answered == 0 ? 1 : 0;
+        const request_totals totals = sum_requests(m_callers.requests(), m_settings.target_logs);
+        const boost::json::object summary{{"requests", totals.requests},
+                                          {"answered", totals.answered},
+                                          {"not_run", totals.not_run},
+                                          {"unknown", totals.unknown},
+                                          {"lost", totals.lost},
+                                          {"doubled", totals.repeated},
+                                          {"cut", totals.interrupted},
+                                          {"wrong_pool", totals.wrong_pool},
+                                          {"false_not_run", totals.false_not_run},
+                                          {"budget_breaches", m_ledger.breach_count()},
+                                          {"config_rollout_ms", m_rollout_ms},
+                                          {"wave_ms", m_wave_ms},
+                                          {"moves", m_ledger.vm_moves() + m_ledger.count_job_moves()},
+                                          {"buffer_vm_seconds", m_ledger.buffer_vm_seconds()}};
+        std::cout << boost::json::serialize(summary) << std::endl;
+        const bool has_violations = totals.lost + totals.repeated + totals.interrupted + totals.wrong_pool +
+                                        totals.false_not_run + m_ledger.breach_count() +
+                                        m_unexpected_answers >
+                                    0;
+        m_result = has_violations || m_timed_out || totals.answered == 0 ? 1 : 0;
         m_loop.stop();
     }
 
@@ -324,18 +332,18 @@
     http_client m_client;
     std::unique_ptr<timer> m_timer;
     timestamp m_started;
-    timestamp m_stage_since{0};
+    timestamp m_step_started_at{0};
     timestamp m_patched_at{0};
-    std::size_t m_stage = 0;
-    std::size_t m_operator = 0;
-    std::size_t m_entries_left = 0;
-    bool m_begun = false;
-    bool m_late = false;
-    int m_waiting_answers = 0;
-    int m_wrong_answers = 0;
-    int m_patches = 0;
+    std::size_t m_step_index = 0;
+    std::size_t m_operator_index = 0;
+    std::size_t m_expected_entries = 0;
+    bool m_is_step_started = false;
+    bool m_timed_out = false;
+    int m_pending_answers = 0;
+    int m_unexpected_answers = 0;
+    int m_patch_count = 0;
     int m_result = 1;
-    std::uint64_t m_number = 0;
+    std::uint64_t m_config_number = 0;
     std::int64_t m_rollout_ms = -1;
     std::int64_t m_wave_ms = -1;
 };
--- a/gateway/operator_gateway.cpp
+++ b/gateway/operator_gateway.cpp
@@ -82,7 +82,7 @@
         m_metrics.set("platform_writes", m_platform.usage().writes);
         m_metrics.set("platform_watches", m_platform.usage().watches);
         m_metrics.set("platform_lists", m_platform.usage().lists);
-        m_metrics.set("platform_bytes", m_platform.bytes());
+        m_metrics.set("platform_bytes", m_platform.transferred_bytes());
         m_metrics.set("peer_bytes", m_state.peer_bytes());
         m_metrics.set("peer_heartbeats", m_state.usage().heartbeats_sent);
         m_metrics.set("peer_pulls", m_state.usage().pulls);
@@ -240,7 +240,7 @@
             return;
         }
         reply_json(*request, 200,
-                   status_json(m_settings, m_state, m_planner.summary(), m_platform.reachable()));
+                   status_json(m_settings, m_state, m_planner.summary(), m_platform.is_reachable()));
     });
     return true;
 }
@@ -248,7 +248,7 @@
 void operator_gateway::show_status(const request_ptr& request, const std::string&) {
     if (!forward_to_planner(request)) {
         reply_json(*request, 200,
-                   status_json(m_settings, m_state, m_planner.summary(), m_platform.reachable()));
+                   status_json(m_settings, m_state, m_planner.summary(), m_platform.is_reachable()));
     }
 }
 
--- a/trial/platform_client.cpp
+++ b/trial/platform_client.cpp
@@ -5,9 +5,9 @@
 namespace {
 
 constexpr milliseconds call_timeout = 2s;
-constexpr int most_update_attempts = 12;
-constexpr milliseconds first_backoff = 20ms;
-constexpr milliseconds longest_backoff = 1s;
+constexpr int max_update_attempts = 12;
+constexpr milliseconds initial_backoff = 20ms;
+constexpr milliseconds max_backoff = 1s;
 
 http_client_limits client_limits() {
     http_client_limits limits;
@@ -63,7 +63,7 @@
     : m_loop(loop), m_platform(std::move(platform)), m_caller(std::move(caller)),
       m_client(loop, client_limits()), m_random(hash64(m_caller)) {}
 
-http_call platform_client::request(std::string method, std::string target) const {
+http_call platform_client::make_request(std::string method, std::string target) const {
     http_call call;
     call.to = m_platform;
     call.method = std::move(method);
@@ -73,9 +73,9 @@
     return call;
 }
 
-void platform_client::call(http_call request, std::function<void(store_status, http_answer)> done) {
+void platform_client::send_call(http_call request, std::function<void(store_status, http_answer)> done) {
     m_client.send(std::move(request), [this, done = std::move(done)](http_answer answer) {
-        m_reachable = answer.status == exchange_status::answered && answer.code < 500;
+        m_is_reachable = answer.status == exchange_status::answered && answer.code < 500;
         const store_status status = to_status(answer);
         done(status, std::move(answer));
     });
@@ -83,18 +83,19 @@
 
 void platform_client::get(const std::string& key, store_callback done) {
     ++m_usage.reads;
-    call(request("GET", "/kv/" + key), [done = std::move(done)](store_status status, http_answer answer) {
-        done({status, status == store_status::ok ? read_value(answer) : stored_value{}});
-    });
+    send_call(make_request("GET", "/kv/" + key),
+              [done = std::move(done)](store_status status, http_answer answer) {
+                  done({status, status == store_status::ok ? read_value(answer) : stored_value{}});
+              });
 }
 
 void platform_client::watch(const std::string& key, std::uint64_t after, milliseconds wait,
                             store_callback done) {
     ++m_usage.watches;
-    http_call item = request("GET", "/kv/" + key + "?after=" + std::to_string(after) +
-                                        "&wait_ms=" + std::to_string(wait.count()));
-    item.timeout = wait + call_timeout;
-    call(std::move(item), [done = std::move(done)](store_status status, http_answer answer) {
+    http_call http_request = make_request("GET", "/kv/" + key + "?after=" + std::to_string(after) +
+                                                     "&wait_ms=" + std::to_string(wait.count()));
+    http_request.timeout = wait + call_timeout;
+    send_call(std::move(http_request), [done = std::move(done)](store_status status, http_answer answer) {
         done({status, status == store_status::ok ? read_value(answer) : stored_value{}});
     });
 }
@@ -102,13 +103,13 @@
 void platform_client::put(const std::string& key, std::uint64_t expected, std::string bytes, milliseconds ttl,
                           store_callback done) {
     ++m_usage.writes;
-    http_call item = request("PUT", "/kv/" + key);
-    item.headers.add("If-Version", std::to_string(expected));
+    http_call http_request = make_request("PUT", "/kv/" + key);
+    http_request.headers.add("If-Version", std::to_string(expected));
     if (ttl > milliseconds{0}) {
-        item.headers.add("Ttl-Ms", std::to_string(ttl.count()));
+        http_request.headers.add("Ttl-Ms", std::to_string(ttl.count()));
     }
-    item.body = std::move(bytes);
-    call(std::move(item), [done = std::move(done)](store_status status, http_answer answer) {
+    http_request.body = std::move(bytes);
+    send_call(std::move(http_request), [done = std::move(done)](store_status status, http_answer answer) {
         done({status, read_value(answer)});
     });
 }
@@ -131,24 +132,24 @@
     state->done = std::move(done);
     if (known) {
         state->current = std::move(*known);
-        update_write(state);
+        write_update(state);
     } else {
-        update_read(state);
+        read_for_update(state);
     }
 }
 
-void platform_client::update_read(const std::shared_ptr<update_state>& state) {
+void platform_client::read_for_update(const std::shared_ptr<update_state>& state) {
     get(state->key, [this, state](store_answer answer) {
         if (answer.status != store_status::ok && answer.status != store_status::absent) {
-            update_again(state, answer.status);
+            retry_update(state, answer.status);
             return;
         }
         state->current = std::move(answer.value);
-        update_write(state);
+        write_update(state);
     });
 }
 
-void platform_client::update_write(const std::shared_ptr<update_state>& state) {
+void platform_client::write_update(const std::shared_ptr<update_state>& state) {
     std::optional<std::string> next = state->change(state->current);
     if (!next) {
         m_loop.post([state, alive = m_lifetime.weak_token()] {
@@ -164,28 +165,31 @@
             state->done({store_status::ok, {answer.value.version, std::move(state->next)}});
             return;
         }
-        update_again(state, answer.status);
+        retry_update(state, answer.status);
     });
 }
 
-void platform_client::update_again(const std::shared_ptr<update_state>& state, store_status failure) {
-    if (++state->attempts >= most_update_attempts) {
+void platform_client::retry_update(const std::shared_ptr<update_state>& state, store_status failure) {
+    if (++state->attempts >= max_update_attempts) {
         state->done({failure, {}});
         return;
     }
     // Jitter keeps the writers of one key, which all lost to the same swap, from meeting again.
-    const milliseconds bound = std::min(longest_backoff, first_backoff * (1 << std::min(state->attempts, 6)));
-    const milliseconds delay(1 + m_random.next_below(static_cast<std::uint64_t>(bound.count())));
-    state->backoff = m_loop.make_timer([this, state] { update_read(state); });
+    const milliseconds max_delay =
+        std::min(max_backoff, initial_backoff * (1 << std::min(state->attempts, 6)));
+    const milliseconds delay(1 + m_random.next_below(static_cast<std::uint64_t>(max_delay.count())));
+    state->backoff = m_loop.make_timer([this, state] { read_for_update(state); });
     state->backoff->start(failure == store_status::conflict && state->attempts == 1 ? 1ms : delay);
 }
 
 void platform_client::acquire_lease(const std::string& name, milliseconds ttl,
                                     std::function<void(lease_answer)> done) {
     ++m_usage.writes;
-    http_call item = request("POST", "/leases/" + name);
-    item.body = boost::json::serialize(boost::json::object{{"holder", m_caller}, {"ttl_ms", ttl.count()}});
-    call(std::move(item), [this, done = std::move(done)](store_status status, const http_answer& answer) {
+    http_call http_request = make_request("POST", "/leases/" + name);
+    http_request.body =
+        boost::json::serialize(boost::json::object{{"holder", m_caller}, {"ttl_ms", ttl.count()}});
+    send_call(std::move(http_request), [this, done = std::move(done)](store_status status,
+                                                                      const http_answer& answer) {
         lease_answer result;
         result.status = status;
         if (status == store_status::ok || status == store_status::conflict) {
@@ -194,7 +198,7 @@
             json_object object(body, "/lease", problems);
             result.holder = object.text("holder");
             result.term = static_cast<std::uint64_t>(object.number("term", {0, INT64_MAX}));
-            result.held = status == store_status::ok && result.holder == m_caller && problems.empty();
+            result.is_held = status == store_status::ok && result.holder == m_caller && problems.empty();
         }
         done(result);
     });
@@ -202,44 +206,45 @@
 
 void platform_client::release_lease(const std::string& name) {
     ++m_usage.writes;
-    call(request("DELETE", "/leases/" + name + "?holder=" + m_caller),
-         [](store_status, const http_answer&) {});
+    send_call(make_request("DELETE", "/leases/" + name + "?holder=" + m_caller),
+              [](store_status, const http_answer&) {});
 }
 
 void platform_client::list_vms(std::function<void(store_status, std::vector<listed_vm>)> done) {
     ++m_usage.lists;
-    http_call item = request("GET", "/vms");
+    http_call http_request = make_request("GET", "/vms");
     if (!m_list_tag.empty()) {
-        item.headers.add("If-None-Match", m_list_tag);
+        http_request.headers.add("If-None-Match", m_list_tag);
     }
-    call(std::move(item), [this, done = std::move(done)](store_status status, const http_answer& answer) {
-        std::vector<listed_vm> vms;
-        findings problems;
-        if (status == store_status::ok) {
-            const boost::json::value body = parse_json(answer.body, "/vms", problems);
-            if (body.is_array()) {
-                for (const auto& item : body.get_array()) {
-                    vms.push_back(read_listed_vm(item, problems));
-                }
-            } else {
-                problems.add("/vms", "must be an array");
-            }
-        }
-        if (status == store_status::ok && problems.empty()) {
-            m_list_tag = answer.headers.get("ETag");
-            m_list_bytes = answer.body.size();
-        }
-        done(problems.empty() ? status : store_status::unreachable, std::move(vms));
-    });
+    send_call(std::move(http_request),
+              [this, done = std::move(done)](store_status status, const http_answer& answer) {
+                  std::vector<listed_vm> vms;
+                  findings problems;
+                  if (status == store_status::ok) {
+                      const boost::json::value body = parse_json(answer.body, "/vms", problems);
+                      if (body.is_array()) {
+                          for (const auto& item : body.get_array()) {
+                              vms.push_back(read_listed_vm(item, problems));
+                          }
+                      } else {
+                          problems.add("/vms", "must be an array");
+                      }
+                  }
+                  if (status == store_status::ok && problems.empty()) {
+                      m_list_tag = answer.headers.get("ETag");
+                      m_list_bytes = answer.body.size();
+                  }
+                  done(problems.empty() ? status : store_status::unreachable, std::move(vms));
+              });
 }
 
 void platform_client::reboot(const reboot_action& action, std::function<void(store_status)> done) {
     ++m_usage.writes;
-    http_call item = request("POST", "/vms/" + action.vm + "/reboot");
-    item.body =
+    http_call http_request = make_request("POST", "/vms/" + action.vm + "/reboot");
+    http_request.body =
         boost::json::serialize(boost::json::object{{"operation", action.operation}, {"pool", action.pool}});
-    call(std::move(item),
-         [done = std::move(done)](store_status status, const http_answer&) { done(status); });
+    send_call(std::move(http_request),
+              [done = std::move(done)](store_status status, const http_answer&) { done(status); });
 }
 
 } // namespace siskinpaddle
--- a/trial/platform_client.hpp
+++ b/trial/platform_client.hpp
@@ -44,7 +44,7 @@
 /// Outcome of asking for a lease.
 struct lease_answer {
     store_status status = store_status::unreachable;
-    bool held = false;
+    bool is_held = false;
     std::string holder;
     std::uint64_t term = 0;
 };
@@ -92,26 +92,26 @@
     /// Reads the VM list. `unchanged` says that it is the one read last; then no list comes with it.
     void list_vms(std::function<void(store_status, std::vector<listed_vm>)> done);
     /// Asks for the whole list again next time.
-    void forget_list() { m_list_tag.clear(); }
+    void reset_list_tag() { m_list_tag.clear(); }
     /// Bytes of the list that was read last.
     [[nodiscard]] std::size_t list_bytes() const noexcept { return m_list_bytes; }
     void reboot(const reboot_action& action, std::function<void(store_status)> done);
 
     [[nodiscard]] const platform_usage& usage() const noexcept { return m_usage; }
-    [[nodiscard]] std::uint64_t bytes() const noexcept {
+    [[nodiscard]] std::uint64_t transferred_bytes() const noexcept {
         return m_client.bytes_sent() + m_client.bytes_received();
     }
     /// Whether the latest ended call got an answer.
-    [[nodiscard]] bool reachable() const noexcept { return m_reachable; }
+    [[nodiscard]] bool is_reachable() const noexcept { return m_is_reachable; }
 
   private:
     struct update_state;
 
-    void call(http_call request, std::function<void(store_status, http_answer)> done);
-    void update_read(const std::shared_ptr<update_state>& state);
-    void update_write(const std::shared_ptr<update_state>& state);
-    void update_again(const std::shared_ptr<update_state>& state, store_status failure);
-    [[nodiscard]] http_call request(std::string method, std::string target) const;
+    void send_call(http_call request, std::function<void(store_status, http_answer)> done);
+    void read_for_update(const std::shared_ptr<update_state>& state);
+    void write_update(const std::shared_ptr<update_state>& state);
+    void retry_update(const std::shared_ptr<update_state>& state, store_status failure);
+    [[nodiscard]] http_call make_request(std::string method, std::string target) const;
 
     event_loop& m_loop;
     endpoint m_platform;
@@ -119,7 +119,7 @@
     http_client m_client;
     platform_usage m_usage;
     random_source m_random;
-    bool m_reachable = true;
+    bool m_is_reachable = true;
     std::string m_list_tag;
     std::size_t m_list_bytes = 0;
     lifetime m_lifetime;
--- a/trial/task_protocol.hpp
+++ b/trial/task_protocol.hpp
@@ -61,8 +61,8 @@
 
 [[nodiscard]] std::string encode_task_calls(const std::vector<task_call>& calls, milliseconds lease);
 [[nodiscard]] std::vector<task_call> decode_task_calls(std::string_view text, milliseconds& lease,
-                                                       findings& out);
+                                                       findings& problems);
 [[nodiscard]] std::string encode_worker_answer(const worker_answer& answer);
-[[nodiscard]] worker_answer decode_worker_answer(std::string_view text, findings& out);
+[[nodiscard]] worker_answer decode_worker_answer(std::string_view text, findings& problems);
 
 } // namespace siskinpaddle
--- a/trial/worker_client.cpp
+++ b/trial/worker_client.cpp
@@ -23,11 +23,11 @@
         if (answer.status == exchange_status::answered && answer.code == 200) {
             result = decode_worker_answer(answer.body, problems);
         }
-        const bool good =
+        const bool is_valid =
             answer.status == exchange_status::answered && answer.code == 200 && problems.empty();
         const exchange_status failure =
             answer.status == exchange_status::answered ? exchange_status::reset : answer.status;
-        done(good ? exchange_status::answered : failure, std::move(result));
+        done(is_valid ? exchange_status::answered : failure, std::move(result));
     });
 }
 
--- a/trial/worker_client.hpp
+++ b/trial/worker_client.hpp
@@ -18,7 +18,7 @@
     /// Repeating a call is harmless: tasks are known by job and epoch.
     void sync(const endpoint& agent, const std::vector<task_call>& calls, milliseconds lease, callback done);
 
-    [[nodiscard]] std::uint64_t bytes() const noexcept {
+    [[nodiscard]] std::uint64_t transferred_bytes() const noexcept {
         return m_client.bytes_sent() + m_client.bytes_received();
     }
 
