--- a/soak/child_process.cpp
+++ b/soak/child_process.cpp
@@ -18,54 +18,55 @@
 } // namespace
 
 child_process::child_process(const std::string& program, const std::vector<std::string>& arguments,
-                             const std::string& log) {
-    std::vector<char*> words{const_cast<char*>(program.c_str())}; // NOLINT: posix_spawn changes nothing
+                             const std::string& log_path) {
+    std::vector<char*> argv_pointers{
+        const_cast<char*>(program.c_str())}; // NOLINT: posix_spawn changes nothing
     for (const std::string& item : arguments) {
-        words.push_back(const_cast<char*>(item.c_str())); // NOLINT: as above
+        argv_pointers.push_back(const_cast<char*>(item.c_str())); // NOLINT: as above
     }
-    words.push_back(nullptr);
-    posix_spawn_file_actions_t files{};
-    posix_spawn_file_actions_init(&files);
-    posix_spawn_file_actions_addopen(&files, STDOUT_FILENO, log.c_str(), O_WRONLY | O_CREAT | O_APPEND,
-                                     log_mode);
-    posix_spawn_file_actions_adddup2(&files, STDOUT_FILENO, STDERR_FILENO);
-    if (posix_spawn(&m_pid, program.c_str(), &files, nullptr, words.data(), environ) != 0) {
+    argv_pointers.push_back(nullptr);
+    posix_spawn_file_actions_t file_actions{};
+    posix_spawn_file_actions_init(&file_actions);
+    posix_spawn_file_actions_addopen(&file_actions, STDOUT_FILENO, log_path.c_str(),
+                                     O_WRONLY | O_CREAT | O_APPEND, log_mode);
+    posix_spawn_file_actions_adddup2(&file_actions, STDOUT_FILENO, STDERR_FILENO);
+    if (posix_spawn(&m_pid, program.c_str(), &file_actions, nullptr, argv_pointers.data(), environ) != 0) {
         m_pid = -1;
     }
-    posix_spawn_file_actions_destroy(&files);
+    posix_spawn_file_actions_destroy(&file_actions);
 }
 
 child_process::~child_process() {
     kill();
 }
 
-void child_process::take_status(int status) {
+void child_process::record_exit_status(int status) {
     m_pid = -1;
     m_exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : signal_exit_base + WTERMSIG(status);
 }
 
-bool child_process::running() {
+bool child_process::is_running() {
     int status = 0;
     if (m_pid > 0 && waitpid(m_pid, &status, WNOHANG) == m_pid) {
-        take_status(status);
+        record_exit_status(status);
     }
     return m_pid > 0;
 }
 
-void child_process::signal(int number) {
-    if (running()) {
-        ::kill(m_pid, number);
+void child_process::signal(int signal_number) {
+    if (is_running()) {
+        ::kill(m_pid, signal_number);
     }
 }
 
 void child_process::kill() {
-    if (!running()) {
+    if (!is_running()) {
         return;
     }
     ::kill(m_pid, SIGKILL);
     int status = 0;
     if (waitpid(m_pid, &status, 0) == m_pid) {
-        take_status(status);
+        record_exit_status(status);
     }
 }
 
--- a/soak/fault_plan.cpp
+++ b/soak/fault_plan.cpp
@@ -8,33 +8,33 @@
 namespace {
 
 /// Between two moments at which faults begin; shorter than most faults last, so that they overlap.
-constexpr std::int64_t longest_gap_ms = 1500;
+constexpr std::int64_t max_gap_ms = 1500;
 /// One moment in so many has several faults at once.
 constexpr std::uint32_t burst_one_in = 3;
-constexpr std::uint32_t most_in_burst = 3;
+constexpr std::uint32_t max_faults_in_burst = 3;
 /// From below a retry's pause to past the leases of the store and the time that an owner acts beyond them.
-constexpr std::int64_t shortest_ms = 200;
-constexpr std::int64_t longest_ms = 8000;
+constexpr std::int64_t min_fault_ms = 200;
+constexpr std::int64_t max_fault_ms = 8000;
 
 /// Kinds that are drawn by themselves, so that they leave the rest of a seed's plan as it is.
-constexpr std::size_t kinds_apart = 7;
-constexpr std::size_t kinds = enum_names<fault_kind>.size() - kinds_apart;
+constexpr std::size_t periodic_kinds = 7;
+constexpr std::size_t random_kinds = enum_names<fault_kind>.size() - periodic_kinds;
 /// Another sequence than that of the seed itself.
-constexpr std::uint64_t apart_seed = 0x510;
-constexpr std::uint64_t vm_seed = 0x5148;
+constexpr std::uint64_t inbox_fault_seed = 0x510;
+constexpr std::uint64_t vm_fault_seed = 0x5148;
 /// Slow nodes begin so often, from the first two seconds of each such part of the plan on, and stay so for 6
 /// to 9 s: past the time after which a count must hold a job, with a burst of jobs in it. Mostly two are slow
 /// at a time, so that the owner of the three nodes' one pool is often among them and an entry is not.
-constexpr std::int64_t slow_every_ms = 3750;
-constexpr std::int64_t slow_begins_ms = 2000;
-constexpr std::int64_t shortest_slow_ms = 6000;
-constexpr std::int64_t longest_slow_ms = 9000;
+constexpr std::int64_t slow_interval_ms = 3750;
+constexpr std::int64_t slow_start_window_ms = 2000;
+constexpr std::int64_t min_slow_ms = 6000;
+constexpr std::int64_t max_slow_ms = 9000;
 /// Records of jobs are held once in each such part of the plan, from its first four seconds on, for 8 to 10
 /// s: past the time after which a count must hold a job by some seconds, with a burst of jobs among them.
-constexpr std::int64_t hold_every_ms = 15'000;
-constexpr std::int64_t hold_begins_ms = 4000;
-constexpr std::int64_t shortest_hold_ms = 8000;
-constexpr std::int64_t longest_hold_ms = 10'000;
+constexpr std::int64_t hold_interval_ms = 15'000;
+constexpr std::int64_t hold_start_window_ms = 4000;
+constexpr std::int64_t min_hold_ms = 8000;
+constexpr std::int64_t max_hold_ms = 10'000;
 
 bool is_momentary(fault_kind kind) {
     return kind == fault_kind::store_compact || kind == fault_kind::store_leases_lapse ||
@@ -42,23 +42,25 @@
 }
 
 /// Where a fault that is drawn by itself may begin in each part of a plan, and how long it may last.
-struct apart_rhythm {
-    std::int64_t every_ms = 0;
-    std::int64_t begins_ms = 0;
-    std::int64_t shortest_ms = 0;
-    std::int64_t longest_ms = 0;
+struct periodic_schedule {
+    std::int64_t interval_ms = 0;
+    std::int64_t start_window_ms = 0;
+    std::int64_t min_duration_ms = 0;
+    std::int64_t max_duration_ms = 0;
 };
 
-void add_apart(std::vector<planned_fault>& plan, fault_kind kind, const apart_rhythm& rhythm,
-               std::mt19937_64& random, milliseconds length) {
-    const auto below = [&random](std::int64_t bound) {
+void add_periodic_faults(std::vector<planned_fault>& plan, fault_kind kind, const periodic_schedule& schedule,
+                         std::mt19937_64& random, milliseconds length) {
+    const auto random_below = [&random](std::int64_t bound) {
         return static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(bound));
     };
-    for (milliseconds from(0); from < length; from += milliseconds(rhythm.every_ms)) {
+    for (milliseconds interval_start(0); interval_start < length;
+         interval_start += milliseconds(schedule.interval_ms)) {
         planned_fault item;
         item.kind = kind;
-        item.at = from + milliseconds(below(rhythm.begins_ms));
-        item.lasts = milliseconds(rhythm.shortest_ms + below(rhythm.longest_ms - rhythm.shortest_ms));
+        item.start_offset = interval_start + milliseconds(random_below(schedule.start_window_ms));
+        item.duration = milliseconds(schedule.min_duration_ms +
+                                     random_below(schedule.max_duration_ms - schedule.min_duration_ms));
         item.target = static_cast<std::uint32_t>(random() % (1U << 16U));
         plan.push_back(item);
     }
@@ -66,26 +68,26 @@
 
 /// Answers an owner that renews its claim and answers calls, and is seconds behind with the jobs that entries
 /// left in the inbox: its processor time is used up, or the store holds its writes.
-void add_what_fills_the_inbox(std::vector<planned_fault>& plan, std::uint64_t seed, milliseconds length) {
-    std::mt19937_64 random(seed ^ apart_seed);
-    add_apart(plan, fault_kind::node_slow, {slow_every_ms, slow_begins_ms, shortest_slow_ms, longest_slow_ms},
-              random, length);
-    add_apart(plan, fault_kind::store_holds_jobs,
-              {hold_every_ms, hold_begins_ms, shortest_hold_ms, longest_hold_ms}, random, length);
+void add_inbox_faults(std::vector<planned_fault>& plan, std::uint64_t seed, milliseconds length) {
+    std::mt19937_64 random(seed ^ inbox_fault_seed);
+    add_periodic_faults(plan, fault_kind::node_slow,
+                        {slow_interval_ms, slow_start_window_ms, min_slow_ms, max_slow_ms}, random, length);
+    add_periodic_faults(plan, fault_kind::store_holds_jobs,
+                        {hold_interval_ms, hold_start_window_ms, min_hold_ms, max_hold_ms}, random, length);
 }
 
 /// What VMs do beside crashing. Shrunk ones stay so past the time after which a shrunk capacity counts.
-void add_troubled_vms(std::vector<planned_fault>& plan, std::uint64_t seed, milliseconds length) {
-    constexpr std::array rhythms{
-        std::pair{fault_kind::vm_shrinks, apart_rhythm{5000, 3000, 5000, 9000}},
-        std::pair{fault_kind::vm_fails_runs, apart_rhythm{8000, 5000, 1500, 4000}},
-        std::pair{fault_kind::vm_late_orders, apart_rhythm{6000, 4000, 2000, 5000}},
-        std::pair{fault_kind::vm_drains, apart_rhythm{9000, 6000, 3000, 5000}},
-        std::pair{fault_kind::node_reloads, apart_rhythm{4000, 4000, 1, 2}},
+void add_vm_faults(std::vector<planned_fault>& plan, std::uint64_t seed, milliseconds length) {
+    constexpr std::array schedules{
+        std::pair{fault_kind::vm_shrinks, periodic_schedule{5000, 3000, 5000, 9000}},
+        std::pair{fault_kind::vm_fails_runs, periodic_schedule{8000, 5000, 1500, 4000}},
+        std::pair{fault_kind::vm_late_orders, periodic_schedule{6000, 4000, 2000, 5000}},
+        std::pair{fault_kind::vm_drains, periodic_schedule{9000, 6000, 3000, 5000}},
+        std::pair{fault_kind::node_reloads, periodic_schedule{4000, 4000, 1, 2}},
     };
-    for (const auto& [kind, rhythm] : rhythms) {
-        std::mt19937_64 random(seed ^ (vm_seed << static_cast<std::uint64_t>(kind)));
-        add_apart(plan, kind, rhythm, random, length);
+    for (const auto& [kind, schedule] : schedules) {
+        std::mt19937_64 random(seed ^ (vm_fault_seed << static_cast<std::uint64_t>(kind)));
+        add_periodic_faults(plan, kind, schedule, random, length);
     }
 }
 
@@ -94,25 +96,27 @@
 std::vector<planned_fault> make_plan(std::uint64_t seed, milliseconds length) {
     std::mt19937_64 random(seed);
     // Not the library's distributions: their results differ from one library to the next.
-    const auto below = [&random](std::uint64_t bound) { return random() % bound; };
+    const auto random_below = [&random](std::uint64_t bound) { return random() % bound; };
     std::vector<planned_fault> plan;
-    milliseconds at(0);
+    milliseconds start_offset(0);
     while (true) {
-        at += milliseconds(static_cast<std::int64_t>(below(longest_gap_ms)));
-        if (at >= length) {
-            add_what_fills_the_inbox(plan, seed, length);
-            add_troubled_vms(plan, seed, length);
-            std::ranges::stable_sort(plan, {}, &planned_fault::at);
+        start_offset += milliseconds(static_cast<std::int64_t>(random_below(max_gap_ms)));
+        if (start_offset >= length) {
+            add_inbox_faults(plan, seed, length);
+            add_vm_faults(plan, seed, length);
+            std::ranges::stable_sort(plan, {}, &planned_fault::start_offset);
             return plan;
         }
-        const std::uint64_t together = below(burst_one_in) == 0 ? 2 + below(most_in_burst - 1) : 1;
-        for (std::uint64_t i = 0; i < together; ++i) {
+        const std::uint64_t fault_count =
+            random_below(burst_one_in) == 0 ? 2 + random_below(max_faults_in_burst - 1) : 1;
+        for (std::uint64_t i = 0; i < fault_count; ++i) {
             planned_fault item;
-            item.at = at;
-            item.kind = enum_names<fault_kind>.at(below(kinds)).first;
-            item.target = static_cast<std::uint32_t>(below(1U << 16U));
-            const auto lasts = shortest_ms + static_cast<std::int64_t>(below(longest_ms - shortest_ms));
-            item.lasts = milliseconds(is_momentary(item.kind) ? 0 : lasts);
+            item.start_offset = start_offset;
+            item.kind = enum_names<fault_kind>.at(random_below(random_kinds)).first;
+            item.target = static_cast<std::uint32_t>(random_below(1U << 16U));
+            const auto duration_ms =
+                min_fault_ms + static_cast<std::int64_t>(random_below(max_fault_ms - min_fault_ms));
+            item.duration = milliseconds(is_momentary(item.kind) ? 0 : duration_ms);
             plan.push_back(item);
         }
     }
--- a/soak/fault_plan.hpp
+++ b/soak/fault_plan.hpp
@@ -44,8 +44,8 @@
 
 /// One fault of a plan.
 struct planned_fault {
-    milliseconds at{0};    ///< From the begin of the load.
-    milliseconds lasts{0}; ///< Until it is mended; 0 where it happens at a moment.
+    milliseconds start_offset{0}; ///< From the begin of the load.
+    milliseconds duration{0};     ///< Until it is mended; 0 where it happens at a moment.
     fault_kind kind = fault_kind::node_kill;
     std::uint32_t target = 0; ///< Which node or VM, modulo their number.
 
--- a/soak/fault_proxy.cpp
+++ b/soak/fault_proxy.cpp
@@ -30,23 +30,23 @@
 } // namespace
 
 /// One connection through the proxy: two sides, each with what waits for its delay.
-class fault_proxy::link {
+class fault_proxy::proxied_connection {
   public:
-    link(fault_proxy& owner, int socket)
-        : m_owner(owner),
-          m_client(bufferevent_socket_new(owner.m_loop.base(), socket, BEV_OPT_CLOSE_ON_FREE)),
-          m_server(bufferevent_socket_new(owner.m_loop.base(), -1, BEV_OPT_CLOSE_ON_FREE)),
-          m_timer(owner.m_loop.make_timer([this] { release(); })) {
+    proxied_connection(fault_proxy& proxy, int socket)
+        : m_proxy(proxy),
+          m_client(bufferevent_socket_new(proxy.m_loop.base(), socket, BEV_OPT_CLOSE_ON_FREE)),
+          m_server(bufferevent_socket_new(proxy.m_loop.base(), -1, BEV_OPT_CLOSE_ON_FREE)),
+          m_timer(proxy.m_loop.make_timer([this] { send_due(); })) {
         for (bufferevent* side : {m_client, m_server}) {
             bufferevent_setcb(side, on_read, nullptr, on_event, this);
             bufferevent_enable(side, EV_READ | EV_WRITE);
         }
-        const sockaddr_in address = address_of(owner.m_server);
+        const sockaddr_in address = address_of(proxy.m_server);
         bufferevent_socket_connect(m_server, reinterpret_cast<const sockaddr*>(&address), sizeof(address));
     }
-    link(const link&) = delete;
-    link& operator=(const link&) = delete;
-    ~link() {
+    proxied_connection(const proxied_connection&) = delete;
+    proxied_connection& operator=(const proxied_connection&) = delete;
+    ~proxied_connection() {
         bufferevent_free(m_client);
         bufferevent_free(m_server);
     }
@@ -57,73 +57,75 @@
     }
 
   private:
-    struct held_bytes {
-        timestamp until{0};
+    struct delayed_bytes {
+        timestamp due{0};
         bufferevent* to = nullptr;
         std::string bytes;
     };
 
-    static void on_read(bufferevent* from, void* self) { static_cast<link*>(self)->take(from); }
+    static void on_read(bufferevent* from, void* self) {
+        static_cast<proxied_connection*>(self)->forward(from);
+    }
 
-    static void on_event(bufferevent*, short what, void* self) {
-        auto* item = static_cast<link*>(self);
-        if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0) {
-            item->m_owner.drop(item);
+    static void on_event(bufferevent*, short events, void* self) {
+        auto* item = static_cast<proxied_connection*>(self);
+        if ((events & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) != 0) {
+            item->m_proxy.remove_connection(item);
         }
     }
 
-    [[nodiscard]] bool loses(bool outwards) const {
-        switch (m_owner.m_mode) {
-        case link_mode::cut_out:
-            return outwards;
-        case link_mode::cut_back:
-            return !outwards;
-        case link_mode::silent:
+    [[nodiscard]] bool is_dropping(bool to_server) const {
+        switch (m_proxy.m_mode) {
+        case link_mode::drop_to_server:
+            return to_server;
+        case link_mode::drop_to_client:
+            return !to_server;
+        case link_mode::drop_all:
             return true;
         default:
             return false;
         }
     }
 
-    void take(bufferevent* from) {
+    void forward(bufferevent* from) {
         evbuffer* input = bufferevent_get_input(from);
         std::string bytes(evbuffer_get_length(input), '\0');
         evbuffer_remove(input, bytes.data(), bytes.size());
-        const bool outwards = from == m_client;
-        bool& lost = outwards ? m_lost_out : m_lost_back;
-        lost = lost || loses(outwards);
-        if (lost) {
+        const bool to_server = from == m_client;
+        bool& has_dropped = to_server ? m_has_dropped_to_server : m_has_dropped_to_client;
+        has_dropped = has_dropped || is_dropping(to_server);
+        if (has_dropped) {
             return;
         }
-        bufferevent* to = outwards ? m_server : m_client;
-        const milliseconds delay = m_owner.m_mode == link_mode::delay ? m_owner.m_delay : milliseconds(0);
-        if (delay.count() == 0 && m_held.empty()) {
+        bufferevent* to = to_server ? m_server : m_client;
+        const milliseconds delay = m_proxy.m_mode == link_mode::delay ? m_proxy.m_delay : milliseconds(0);
+        if (delay.count() == 0 && m_delayed.empty()) {
             bufferevent_write(to, bytes.data(), bytes.size());
             return;
         }
-        m_held.push_back({event_loop::now() + delay, to, std::move(bytes)});
+        m_delayed.push_back({event_loop::now() + delay, to, std::move(bytes)});
         m_timer->start(delay);
     }
 
-    void release() {
+    void send_due() {
         const timestamp now = event_loop::now();
-        while (!m_held.empty() && m_held.front().until <= now) {
-            const held_bytes& item = m_held.front();
+        while (!m_delayed.empty() && m_delayed.front().due <= now) {
+            const delayed_bytes& item = m_delayed.front();
             bufferevent_write(item.to, item.bytes.data(), item.bytes.size());
-            m_held.pop_front();
+            m_delayed.pop_front();
         }
-        if (!m_held.empty()) {
-            m_timer->start(std::max(milliseconds(1), m_held.front().until - now));
+        if (!m_delayed.empty()) {
+            m_timer->start(std::max(milliseconds(1), m_delayed.front().due - now));
         }
     }
 
-    fault_proxy& m_owner;
+    fault_proxy& m_proxy;
     bufferevent* m_client;
     bufferevent* m_server;
-    std::deque<held_bytes> m_held;
+    std::deque<delayed_bytes> m_delayed;
     std::unique_ptr<timer> m_timer;
-    bool m_lost_out = false;
-    bool m_lost_back = false;
+    bool m_has_dropped_to_server = false;
+    bool m_has_dropped_to_client = false;
 };
 
 fault_proxy::fault_proxy(event_loop& loop, endpoint server) : m_loop(loop), m_server(std::move(server)) {}
@@ -157,14 +159,14 @@
         return;
     }
     evutil_make_socket_nonblocking(socket);
-    m_links.push_back(std::make_unique<link>(*this, socket));
+    m_connections.push_back(std::make_unique<proxied_connection>(*this, socket));
 }
 
-void fault_proxy::drop(const link* ended) {
+void fault_proxy::remove_connection(const proxied_connection* ended) {
     // Not from inside the link's own callback.
     m_loop.post([this, ended, alive = m_lifetime.weak_token()] {
         if (!alive.expired()) {
-            m_links.remove_if([&](const auto& item) { return item.get() == ended; });
+            m_connections.remove_if([&](const auto& item) { return item.get() == ended; });
         }
     });
 }
@@ -173,10 +175,10 @@
     m_mode = mode;
     m_delay = delay;
     if (mode == link_mode::reset) {
-        for (const auto& item : m_links) {
+        for (const auto& item : m_connections) {
             item->reset();
         }
-        m_links.clear();
+        m_connections.clear();
     }
 }
 
--- a/soak/fault_proxy.hpp
+++ b/soak/fault_proxy.hpp
@@ -12,11 +12,11 @@
 /// What a link does to the connections over it.
 enum class link_mode : std::uint8_t {
     pass,
-    delay,    ///< Bytes arrive later, in order.
-    reset,    ///< Open connections are reset, new ones at once.
-    cut_out,  ///< Bytes towards the server are lost.
-    cut_back, ///< Bytes of the server are lost.
-    silent    ///< Bytes of both sides are lost.
+    delay,          ///< Bytes arrive later, in order.
+    reset,          ///< Open connections are reset, new ones at once.
+    drop_to_server, ///< Bytes towards the server are lost.
+    drop_to_client, ///< Bytes of the server are lost.
+    drop_all        ///< Bytes of both sides are lost.
 };
 
 /// A link on loopback between a client and a server. A connection that has lost bytes stays silent until it
@@ -36,17 +36,17 @@
     void set_server(endpoint server) { m_server = std::move(server); }
 
   private:
-    class link;
+    class proxied_connection;
 
     void accept(int socket);
-    void drop(const link* ended);
+    void remove_connection(const proxied_connection* ended);
 
     event_loop& m_loop;
     endpoint m_server;
     evconnlistener* m_listener = nullptr;
     link_mode m_mode = link_mode::pass;
     milliseconds m_delay{0};
-    std::list<std::unique_ptr<link>> m_links;
+    std::list<std::unique_ptr<proxied_connection>> m_connections;
     lifetime m_lifetime;
 };
 
--- /dev/null
+++ b/soak/load_generator.cpp
@@ -0,0 +1,284 @@
+#include "soak/load_generator.hpp"
+
+#include "platform/platform.hpp"
+
+#include <algorithm>
+#include <boost/json.hpp>
+#include <iomanip>
+#include <sstream>
+
+namespace siskinpaddle::soak {
+
+namespace {
+
+constexpr milliseconds iteration_interval = 60ms;
+constexpr milliseconds client_deadline = 3s;
+/// A submit without a definite answer is sent again this often, at any node.
+constexpr std::uint32_t max_submit_attempts = 6;
+constexpr std::uint64_t probe_interval_iterations = 5;
+/// Each node is asked for the queue's count every 0.5 s: several times in the age that a count may have.
+constexpr std::uint64_t count_interval_iterations = 8;
+/// Bursts, so that accepted jobs wait for seconds: each 4.8 s, a second long. The VMs end at most 60 tasks a
+/// second; with the bursts 83 come on average.
+constexpr std::uint64_t burst_interval_iterations = 80;
+constexpr std::uint64_t burst_iterations = 16;
+constexpr std::uint64_t jobs_per_burst_iteration = 6;
+/// Jobs of the burst after all faults: 400 tasks on average, of which the VMs begin 60 a second.
+constexpr std::uint64_t final_burst_jobs = 160;
+constexpr std::uint32_t max_tasks = 4;
+constexpr std::uint32_t cancel_one_in = 8;
+/// One job in so many runs until it is cancelled; by then they hold a sixth of the room of four VMs.
+constexpr std::uint32_t long_running_one_in = 24;
+/// One job in so many has a task that crashes every VM that starts it.
+constexpr std::uint64_t faulty_one_in = 60;
+constexpr std::uint64_t faulty_seed = 0xfa;
+/// Longer than an owner's lease, so that most of them see a change of owner.
+constexpr milliseconds long_running_duration = 4s;
+/// How long after a job's acceptance every node that answers for its pool must know it.
+constexpr milliseconds visible_within = 3s;
+constexpr int ok = 200;
+constexpr int job_unknown = 410;
+constexpr int no_such_queue = 404;
+constexpr int too_many = 429;
+constexpr int unavailable = 503;
+constexpr int internal_error = 500; ///< Says neither that a job is kept nor that it won't run.
+
+std::string encode_body(const job_history& job) {
+    jobs::job_spec spec;
+    spec.payload = job.long_running ? std::string(fakes::task_vm::long_running_payload) : std::string("s");
+    if (job.faulty) {
+        spec.payload = fakes::task_vm::crash_payload(0);
+    }
+    spec.steps.resize(1);
+    spec.steps[0].count = job.tasks;
+    spec.steps[0].long_running = job.long_running;
+    spec.steps[0].need = {500, 64, 0};
+    spec.steps[0].estimate_ms = 500;
+    return platform::encode_job(spec);
+}
+
+std::string target_of(const std::string& job) {
+    return std::string(quotes_prefix) + job;
+}
+
+/// The one number that an answer to the question for a count holds.
+std::size_t parse_count(const std::string& body) {
+    const boost::json::value document = boost::json::parse(body);
+    return document.as_object().begin()->value().to_number<std::size_t>();
+}
+
+} // namespace
+
+load_generator::load_generator(event_loop& loop, test_cluster& cluster, std::uint64_t seed)
+    : m_loop(loop), m_cluster(cluster), m_client(loop, {.max_idle_per_endpoint = 4, .max_idle_time = 60s}),
+      m_timer(loop.make_timer([this] { run_iteration(); })), m_random(seed),
+      m_faulty_random(seed ^ faulty_seed), m_observed_configurations(cluster.nodes()) {}
+
+void load_generator::start() {
+    run_iteration();
+}
+
+std::size_t load_generator::count_up_to_date_nodes() const {
+    std::size_t count = 0;
+    for (const observed_configuration& item : m_observed_configurations) {
+        count += item.version == m_cluster.configuration_version() ? 1 : 0;
+    }
+    return count;
+}
+
+void load_generator::send(std::uint32_t node, const std::string& method, const std::string& target,
+                          std::string body, std::function<void(const http_answer&)> done) {
+    http_call call;
+    call.to = m_cluster.client_endpoint(node);
+    call.method = method;
+    call.target = target;
+    call.headers.add("Host", std::string(client_host));
+    call.headers.add("Deadline-Ms", std::to_string(client_deadline.count()));
+    call.body = std::move(body);
+    call.timeout = client_deadline;
+    m_client.send(std::move(call), [this, node, done = std::move(done)](const http_answer& answer) {
+        ++m_answers[answer.status == exchange_status::answered ? answer.code : 0];
+        if (answer.status == exchange_status::answered && answer.code == internal_error) {
+            m_problems.push_back("n" + std::to_string(node + 1) + " answered 500");
+        }
+        done(answer);
+    });
+}
+
+void load_generator::run_iteration() {
+    m_timer->start(iteration_interval);
+    ++m_iterations;
+    if (m_submitting) {
+        submit_new_job(m_random() % long_running_one_in == 0);
+        for (std::uint64_t i = 1; is_in_burst() && i < jobs_per_burst_iteration; ++i) {
+            submit_new_job(false);
+        }
+    }
+    for (std::uint32_t node = 0; node < m_cluster.nodes(); ++node) {
+        if (m_iterations % probe_interval_iterations == 0) {
+            probe_configuration(node);
+        }
+        if (m_iterations % count_interval_iterations == 0) {
+            query_count(node);
+        }
+    }
+    cancel_long_running();
+    // One job a turn is asked for, and all of them again and again.
+    std::vector<std::string> open = unfinished_jobs(m_jobs);
+    if (!open.empty()) {
+        query_job(open[m_random() % open.size()]);
+    }
+}
+
+bool load_generator::is_in_burst() const {
+    return m_iterations % burst_interval_iterations < burst_iterations;
+}
+
+void load_generator::submit_burst() {
+    for (std::uint64_t i = 0; i < final_burst_jobs; ++i) {
+        submit_new_job(false);
+    }
+}
+
+bool load_generator::all_submits_resolved() const {
+    return std::ranges::none_of(m_jobs, [](const auto& item) { return item.second.submit_in_flight; });
+}
+
+void load_generator::submit_new_job(bool long_running) {
+    std::ostringstream id;
+    id << std::hex << std::setw(16) << std::setfill('0') << m_random();
+    job_history& job = m_jobs[id.str()];
+    job.tasks = 1 + static_cast<std::uint32_t>(m_random() % max_tasks);
+    job.long_running = long_running;
+    job.faulty = !long_running && m_submitting && m_faulty_random() % faulty_one_in == 0;
+    job.submitted = event_loop::now();
+    submit(id.str(), 1);
+}
+
+void load_generator::submit(const std::string& id, std::uint32_t attempt) {
+    m_jobs[id].submit_in_flight = true;
+    send(random_node(), "POST", target_of(id), encode_body(m_jobs[id]),
+         [this, id, attempt](const http_answer& answer) { process_submit_answer(id, attempt, answer); });
+}
+
+void load_generator::process_submit_answer(const std::string& id, std::uint32_t attempt,
+                                           const http_answer& answer) {
+    job_history& job = m_jobs[id];
+    job.submit_in_flight = false;
+    const bool answered = answer.status == exchange_status::answered;
+    if (answered && answer.code == ok) {
+        job.may_run = true;
+        job.accepted = job.accepted == timestamp(0) ? event_loop::now() : job.accepted;
+        if (!job.long_running && m_random() % cancel_one_in == 0) {
+            cancel(id);
+        }
+        return;
+    }
+    const bool refused = answered && (answer.code == too_many || answer.code == unavailable);
+    // Connections that break before a byte is sent carry nothing.
+    job.may_run = job.may_run || (!refused && answer.status != exchange_status::connect_failed);
+    if (!refused && attempt < max_submit_attempts) {
+        submit(id, attempt + 1);
+    }
+}
+
+void load_generator::cancel(const std::string& id) {
+    m_jobs[id].cancel_sent = true;
+    m_jobs[id].cancel_in_flight = true;
+    send(random_node(), "DELETE", target_of(id), {}, [this, id](const http_answer& answer) {
+        m_jobs[id].cancel_in_flight = false;
+        if (answer.status == exchange_status::answered && answer.code == ok) {
+            m_jobs[id].cancelled = event_loop::now();
+        }
+    });
+}
+
+/// What runs until it is cancelled is cancelled in the end, again and again until that is answered.
+void load_generator::cancel_long_running() {
+    for (const auto& [id, job] : m_jobs) {
+        const bool has_run_long_enough =
+            event_loop::now() - job.accepted >= long_running_duration || !m_submitting;
+        const bool open = job.long_running && job.accepted != timestamp(0) && job.cancelled == timestamp(0);
+        if (open && has_run_long_enough && !job.cancel_in_flight) {
+            cancel(id);
+        }
+    }
+}
+
+void load_generator::query_job(const std::string& id) {
+    send(random_node(), "GET", target_of(id), {},
+         [this, id, failed = m_jobs[id].failed](const http_answer& answer) {
+             process_job_answer(id, failed, answer);
+         });
+}
+
+void load_generator::process_job_answer(const std::string& id, bool was_shown_failed,
+                                        const http_answer& answer) {
+    job_history& job = m_jobs[id];
+    if (answer.status != exchange_status::answered) {
+        return;
+    }
+    if (answer.code == job_unknown && event_loop::now() - job.accepted > visible_within + client_deadline) {
+        m_problems.push_back("accepted and not known: " + id);
+    }
+    job.completed = job.completed || answer.body.find("\"completed\"") != std::string::npos;
+    const bool cancelled = answer.body.find("\"cancelled\"") != std::string::npos;
+    const bool failed = answer.body.find("\"failed\"") != std::string::npos;
+    if ((cancelled || (failed && !job.faulty)) && !job.cancel_sent) {
+        m_problems.push_back("neither cancelled nor failed, and shown so: " + id + " " + answer.body);
+    }
+    if (was_shown_failed && answer.code == ok && !failed) {
+        m_problems.push_back("shown as failed, and as something else later: " + id + " " + answer.body);
+    }
+    job.failed = job.failed || failed;
+}
+
+void load_generator::query_count(std::uint32_t node) {
+    send(node, "GET", std::string(quotes_prefix), {},
+         [this, node, sent = event_loop::now()](const http_answer& answer) {
+             if (answer.status == exchange_status::answered && answer.code == ok) {
+                 m_counts.push_back({node, sent, event_loop::now(), parse_count(answer.body)});
+             }
+         });
+}
+
+/// Asks a node for the queue that only the newest version has, and, once that was seen, for one that only the
+/// version before had.
+void load_generator::probe_configuration(std::uint32_t node) {
+    observed_configuration& seen = m_observed_configurations[node];
+    if (seen.incarnation != m_cluster.incarnation_of(node)) {
+        seen = {m_cluster.incarnation_of(node), 0, seen.is_probing};
+    }
+    if (seen.is_probing) {
+        return;
+    }
+    seen.is_probing = true;
+    const bool old = seen.version == m_cluster.configuration_version() && m_random() % 2 == 0;
+    const std::int64_t version = m_cluster.configuration_version() - (old ? 2 : 0);
+    send(node, "GET", test_cluster::extra_prefix(version), {},
+         [this, node, version, before = seen](const http_answer& answer) {
+             process_probe_answer(node, version, before,
+                                  answer.status == exchange_status::answered ? answer.code : 0);
+         });
+}
+
+void load_generator::process_probe_answer(std::uint32_t node, std::int64_t version,
+                                          observed_configuration previous, int code) {
+    observed_configuration& seen = m_observed_configurations[node];
+    seen.is_probing = false;
+    if (previous.incarnation != m_cluster.incarnation_of(node) || seen.incarnation != previous.incarnation) {
+        return;
+    }
+    const bool is_present = code == ok;
+    if (shows_older_configuration({version, previous.version, m_cluster.configuration_version(), is_present,
+                                   code == no_such_queue})) {
+        m_problems.push_back("n" + std::to_string(node + 1) + " went back from configuration " +
+                             std::to_string(previous.version) + ": asked for " + std::to_string(version) +
+                             ", got " + std::to_string(code));
+    }
+    if (is_present) {
+        seen.version = std::max(seen.version, version);
+    }
+}
+
+} // namespace siskinpaddle::soak
--- a/soak/soak.cpp
+++ b/soak/soak.cpp
@@ -1,5 +1,5 @@
 #include "net/loop_until.hpp"
-#include "soak/callers.hpp"
+#include "soak/load_generator.hpp"
 
 #include <filesystem>
 #include <iostream>
@@ -10,31 +10,31 @@
 
 namespace {
 
-constexpr int exit_broken = 1;
-constexpr int exit_bad_usage = 2;
-constexpr milliseconds tend_interval = 50ms;
+constexpr int exit_violation = 1;
+constexpr int exit_usage_error = 2;
+constexpr milliseconds update_interval = 50ms;
 constexpr milliseconds check_interval = 1s;
 /// From the end of the last fault until all accepted jobs must be done and the newest configuration in force:
 /// the longest that a new owner waits for VMs (10.7 s), the leases of both owners before it, the work, and as
 /// much again for a busy machine.
-constexpr milliseconds settle_bound = 60s;
-constexpr std::size_t most_problems_shown = 20;
+constexpr milliseconds recovery_timeout = 60s;
+constexpr std::size_t max_problems_shown = 20;
 
 /// The stand-in VMs have 4000 millicores, a task needs 500.
-constexpr ledger_bounds bounds{.runs_at_once = 8, .after_cancelling = 15s};
+constexpr check_bounds bounds{.max_runs_per_vm = 8, .max_start_after_cancel = 15s};
 /// Once all faults are over an owner knows a job before its client does; the rest is for a busy machine.
-constexpr ledger_bounds settled_bounds{
-    .runs_at_once = 8, .after_cancelling = 15s, .visible_within = milliseconds(1000)};
+constexpr check_bounds final_bounds{
+    .max_runs_per_vm = 8, .max_start_after_cancel = 15s, .visible_within = milliseconds(1000)};
 /// VMs register again at once when their capacity changes; the platform's time for being in touch, and a
 /// heartbeat.
-constexpr milliseconds contact = 3s;
+constexpr milliseconds contact_time = 3s;
 constexpr milliseconds heartbeat = 1500ms;
-constexpr capacity_bounds room_bounds{.task_millicores = 500, .lag = contact + heartbeat};
+constexpr capacity_bounds vm_capacity_bounds{.task_millicores = 500, .lag = contact_time + heartbeat};
 /// Within which each node must tell a count once nothing waits: the age of copies, and some ten requests.
-constexpr milliseconds count_bound = 8s;
+constexpr milliseconds count_timeout = 8s;
 
 struct soak_options {
-    world_settings world;
+    test_cluster_settings cluster;
     std::uint64_t seed = 1;
     milliseconds length{0};
 };
@@ -43,24 +43,24 @@
 class soak_run {
   public:
     soak_run(event_loop& loop, soak_options options)
-        : m_loop(loop), m_options(std::move(options)), m_world(loop, m_options.world),
-          m_callers(loop, m_world, m_options.seed) {}
+        : m_loop(loop), m_options(std::move(options)), m_cluster(loop, m_options.cluster),
+          m_load_generator(loop, m_cluster, m_options.seed) {}
 
     /// Returns the problems found; none if all promises held.
-    std::vector<std::string> play() {
-        if (!m_world.start()) {
+    std::vector<std::string> run() {
+        if (!m_cluster.start()) {
             return {"the deployment can't be started"};
         }
-        m_callers.start();
+        m_load_generator.start();
         run_faults();
-        m_callers.stop_submitting();
-        const bool settled = settle() && settle_burst();
-        if (settled) {
-            watch_last_counts();
+        m_load_generator.stop_submitting();
+        const bool has_recovered = wait_for_recovery() && wait_for_burst();
+        if (has_recovered) {
+            wait_for_last_counts();
         }
         check();
-        if (!settled) {
-            add_unsettled();
+        if (!has_recovered) {
+            add_unfinished();
         }
         return m_problems;
     }
@@ -69,25 +69,25 @@
         std::size_t accepted = 0;
         std::size_t completed = 0;
         std::size_t given_up = 0;
-        for (const auto& [id, job] : m_callers.jobs()) {
+        for (const auto& [id, job] : m_load_generator.jobs()) {
             given_up += job.failed ? 1 : 0;
             accepted += job.accepted != timestamp(0) ? 1 : 0;
             completed += job.completed ? 1 : 0;
         }
-        std::string text = "jobs " + std::to_string(m_callers.jobs().size()) + " accepted " +
+        std::string text = "jobs " + std::to_string(m_load_generator.jobs().size()) + " accepted " +
                            std::to_string(accepted) + " completed " + std::to_string(completed) +
                            " given up " + std::to_string(given_up) + " runs " +
-                           std::to_string(m_world.runs().size()) + " answers";
-        for (const auto& [code, count] : m_callers.answers()) {
+                           std::to_string(m_cluster.runs().size()) + " answers";
+        for (const auto& [code, count] : m_load_generator.answers()) {
             text +=
                 " " + (code == 0 ? std::string("none") : std::to_string(code)) + ":" + std::to_string(count);
         }
         std::size_t most_waiting = 0;
         for (const waiting_range& item :
-             waiting_at(m_callers.jobs(), m_world.runs(), m_callers.counts(), bounds)) {
+             waiting_ranges(m_load_generator.jobs(), m_cluster.runs(), m_load_generator.counts(), bounds)) {
             most_waiting = std::max(most_waiting, item.least);
         }
-        return text + ", counts " + std::to_string(m_callers.counts().size()) + " of up to " +
+        return text + ", counts " + std::to_string(m_load_generator.counts().size()) + " of up to " +
                std::to_string(most_waiting) + " jobs that waited";
     }
 
@@ -95,171 +95,172 @@
     void run_faults() {
         const std::vector<planned_fault> plan = make_plan(m_options.seed, m_options.length);
         const timestamp begin = event_loop::now();
-        std::vector<bool> begun(plan.size());
-        std::vector<bool> ended(plan.size());
+        std::vector<bool> is_started(plan.size());
+        std::vector<bool> is_ended(plan.size());
         const auto advance = [&] {
             const milliseconds age = event_loop::now() - begin;
-            bool left = age < m_options.length;
+            bool has_remaining = age < m_options.length;
             for (std::size_t i = 0; i < plan.size(); ++i) {
-                if (!begun[i] && age >= plan[i].at) {
-                    begun[i] = true;
-                    m_world.apply(plan[i]);
+                if (!is_started[i] && age >= plan[i].start_offset) {
+                    is_started[i] = true;
+                    m_cluster.apply(plan[i]);
                 }
-                if (begun[i] && !ended[i] && age >= plan[i].at + plan[i].lasts) {
-                    ended[i] = true;
-                    m_world.mend(plan[i]);
+                if (is_started[i] && !is_ended[i] && age >= plan[i].start_offset + plan[i].duration) {
+                    is_ended[i] = true;
+                    m_cluster.revert(plan[i]);
                 }
-                left = left || !ended[i];
+                has_remaining = has_remaining || !is_ended[i];
             }
-            return !left;
+            return !has_remaining;
         };
-        watch_until(advance, m_options.length + settle_bound);
+        run_until(advance, m_options.length + recovery_timeout);
     }
 
-    bool settle() {
-        return watch_until([this] { return is_settled(); }, settle_bound);
+    bool wait_for_recovery() {
+        return run_until([this] { return is_recovered(); }, recovery_timeout);
     }
 
     /// Jobs wait while nothing is broken any more.
-    bool settle_burst() {
-        const std::size_t first = m_callers.counts().size();
-        m_callers.submit_burst();
-        const bool settled = settle();
+    bool wait_for_burst() {
+        const std::size_t first = m_load_generator.counts().size();
+        m_load_generator.submit_burst();
+        const bool has_recovered = wait_for_recovery();
         check_counts_from(first);
-        return settled;
+        return has_recovered;
     }
 
     /// Nothing waits any more; watches until each node told a count that can't be from before.
-    void watch_last_counts() {
-        const timestamp from = event_loop::now() + settled_bounds.count_age;
-        watch_until([&] { return event_loop::now() >= from; }, count_bound);
-        const std::size_t first = m_callers.counts().size();
-        const auto all_told = [&] {
-            std::set<std::uint32_t> telling;
-            for (const told_count& item : std::span(m_callers.counts()).subspan(first)) {
-                telling.insert(item.node);
+    void wait_for_last_counts() {
+        const timestamp from = event_loop::now() + final_bounds.max_count_age;
+        run_until([&] { return event_loop::now() >= from; }, count_timeout);
+        const std::size_t first = m_load_generator.counts().size();
+        const auto have_all_reported = [&] {
+            std::set<std::uint32_t> reporting_nodes;
+            for (const reported_count& item : std::span(m_load_generator.counts()).subspan(first)) {
+                reporting_nodes.insert(item.node);
             }
-            return telling.size() == m_world.nodes();
+            return reporting_nodes.size() == m_cluster.nodes();
         };
-        watch_until(all_told, count_bound);
+        run_until(have_all_reported, count_timeout);
         check_counts_from(first);
     }
 
     void check_counts_from(std::size_t first) {
-        for (const std::string& item : check_settled_counts(m_callers.jobs(), m_world.runs(),
-                                                            std::span(m_callers.counts()).subspan(first),
-                                                            settled_bounds, m_world.nodes())) {
-            add(item);
+        for (const std::string& item : check_final_counts(m_load_generator.jobs(), m_cluster.runs(),
+                                                          std::span(m_load_generator.counts()).subspan(first),
+                                                          final_bounds, m_cluster.nodes())) {
+            add_problem(item);
         }
     }
 
-    void add_unsettled() {
-        for (const std::string& id : unfinished(m_callers.jobs())) {
-            add("accepted and not completed: " + id);
+    void add_unfinished() {
+        for (const std::string& id : unfinished_jobs(m_load_generator.jobs())) {
+            add_problem("accepted and not completed: " + id);
         }
-        for (const std::string& item : left_running(m_callers.jobs(), m_world.runs())) {
-            add("runs on after its cancelling: " + item);
+        for (const std::string& item : runs_left_after_cancel(m_load_generator.jobs(), m_cluster.runs())) {
+            add_problem("runs on after its cancelling: " + item);
         }
-        if (m_callers.nodes_up_to_date() < m_world.nodes()) {
-            add("the newest configuration is not in force everywhere");
+        if (m_load_generator.count_up_to_date_nodes() < m_cluster.nodes()) {
+            add_problem("the newest configuration is not in force everywhere");
         }
     }
 
-    [[nodiscard]] bool is_settled() const {
-        return m_callers.all_answered() && unfinished(m_callers.jobs()).empty() &&
-               m_callers.nodes_up_to_date() == m_world.nodes() &&
-               left_running(m_callers.jobs(), m_world.runs()).empty();
+    [[nodiscard]] bool is_recovered() const {
+        return m_load_generator.all_submits_resolved() && unfinished_jobs(m_load_generator.jobs()).empty() &&
+               m_load_generator.count_up_to_date_nodes() == m_cluster.nodes() &&
+               runs_left_after_cancel(m_load_generator.jobs(), m_cluster.runs()).empty();
     }
 
-    bool watch_until(const std::function<bool()>& condition, milliseconds bound) {
-        timestamp tended(0);
-        timestamp checked = event_loop::now();
+    bool run_until(const std::function<bool()>& condition, milliseconds timeout) {
+        timestamp updated_at(0);
+        timestamp checked_at = event_loop::now();
         return tests::loop_until(
             m_loop,
             [&] {
                 const timestamp now = event_loop::now();
-                m_world.take_turns();
-                if (now - tended >= tend_interval) {
-                    tended = now;
-                    m_world.tend();
+                m_cluster.switch_slow_nodes();
+                if (now - updated_at >= update_interval) {
+                    updated_at = now;
+                    m_cluster.update();
                 }
-                if (now - checked >= check_interval) {
-                    checked = now;
+                if (now - checked_at >= check_interval) {
+                    checked_at = now;
                     check();
                 }
                 return condition();
             },
-            bound);
+            timeout);
     }
 
     void check() {
         for (const std::string& item :
-             check_runs(m_callers.jobs(), m_world.runs(), bounds, event_loop::now())) {
-            add(item);
+             check_runs(m_load_generator.jobs(), m_cluster.runs(), bounds, event_loop::now())) {
+            add_problem(item);
         }
         check_vms();
-        const std::span<const told_count> counts(m_callers.counts());
-        for (const std::string& item :
-             check_counts(m_callers.jobs(), m_world.runs(), counts.subspan(m_counts_checked), bounds)) {
-            add(item);
+        const std::span<const reported_count> counts(m_load_generator.counts());
+        for (const std::string& item : check_counts(m_load_generator.jobs(), m_cluster.runs(),
+                                                    counts.subspan(m_checked_counts), bounds)) {
+            add_problem(item);
         }
-        m_counts_checked = counts.size();
-        for (const std::string& item : m_world.problems()) {
-            add(item);
+        m_checked_counts = counts.size();
+        for (const std::string& item : m_cluster.problems()) {
+            add_problem(item);
         }
-        for (const std::string& item : m_callers.problems()) {
-            add(item);
+        for (const std::string& item : m_load_generator.problems()) {
+            add_problem(item);
         }
     }
 
     void check_vms() {
-        for (const std::string& item :
-             check_capacity(m_world.runs(), m_world.capacities(), room_bounds, event_loop::now())) {
-            add(item);
+        for (const std::string& item : check_capacity(m_cluster.runs(), m_cluster.capacities(),
+                                                      vm_capacity_bounds, event_loop::now())) {
+            add_problem(item);
         }
-        const auto in_touch = [this](const vm_run& item) {
-            return m_world.in_touch(item.run.token, item.run.began, contact);
+        const auto had_contact = [this](const vm_run& item) {
+            return m_cluster.had_contact(item.run.fencing_token, item.run.started_at, contact_time);
         };
-        for (const std::string& item : check_crashes(m_callers.jobs(), m_world.runs(), in_touch)) {
-            add(item);
+        for (const std::string& item :
+             check_crashes(m_load_generator.jobs(), m_cluster.runs(), had_contact)) {
+            add_problem(item);
         }
     }
 
     /// The same finding is met again at each check.
-    void add(const std::string& problem) {
+    void add_problem(const std::string& problem) {
         const std::string kind = problem.substr(0, problem.find(" ["));
-        if (m_known.insert(kind).second) {
+        if (m_known_problems.insert(kind).second) {
             m_problems.push_back(problem);
         }
     }
 
     event_loop& m_loop;
     soak_options m_options;
-    world m_world;
-    callers m_callers;
+    test_cluster m_cluster;
+    load_generator m_load_generator;
     std::vector<std::string> m_problems;
-    std::set<std::string> m_known;
-    std::size_t m_counts_checked = 0; ///< Counts that were checked by what holds amid faults.
+    std::set<std::string> m_known_problems;
+    std::size_t m_checked_counts = 0; ///< Counts that were checked by what holds amid faults.
 };
 
 void print_plan(const soak_options& options) {
     for (const planned_fault& item : make_plan(options.seed, options.length)) {
-        std::cout << item.at.count() << " ms for " << item.lasts.count() << " ms " << name_of(item.kind)
-                  << " " << item.target << "\n";
+        std::cout << item.start_offset.count() << " ms for " << item.duration.count() << " ms "
+                  << name_of(item.kind) << " " << item.target << "\n";
     }
 }
 
-int play(const soak_options& options) {
-    std::filesystem::create_directories(options.world.folder);
+int run_soak(const soak_options& options) {
+    std::filesystem::create_directories(options.cluster.folder);
     event_loop loop;
     soak_run run(loop, options);
-    const std::vector<std::string> problems = run.play();
+    const std::vector<std::string> problems = run.run();
     std::cout << "seed " << options.seed << ": " << (problems.empty() ? "good" : "BROKEN") << ", "
               << run.summary() << "\n";
-    for (std::size_t i = 0; i < problems.size() && i < most_problems_shown; ++i) {
+    for (std::size_t i = 0; i < problems.size() && i < max_problems_shown; ++i) {
         std::cout << "  " << problems[i] << "\n";
     }
-    return problems.empty() ? 0 : exit_broken;
+    return problems.empty() ? 0 : exit_violation;
 }
 
 } // namespace
@@ -281,20 +282,20 @@
         TCLAP::SwitchArg plan("", "plan", "Only print the plan.", line);
         line.parse(argc, argv);
         soak_options options;
-        options.world = {program.getValue(), folder.getValue(), nodes.getValue(), vms.getValue()};
+        options.cluster = {program.getValue(), folder.getValue(), nodes.getValue(), vms.getValue()};
         options.seed = seed.getValue();
         options.length = std::chrono::seconds(seconds.getValue());
-        if (options.world.nodes == 0 || options.world.vms == 0) {
+        if (options.cluster.nodes == 0 || options.cluster.vms == 0) {
             std::cerr << "--nodes and --vms must be at least 1\n";
-            return exit_bad_usage;
+            return exit_usage_error;
         }
         if (plan.getValue()) {
             print_plan(options);
             return 0;
         }
-        return play(options);
+        return run_soak(options);
     } catch (const std::exception& error) {
         std::cerr << "siskinpaddle-soak: " << error.what() << "\n";
-        return exit_bad_usage;
+        return exit_usage_error;
     }
 }
--- a/tests/fakes/fake_platform.hpp
+++ b/tests/fakes/fake_platform.hpp
@@ -12,23 +12,23 @@
 namespace siskinpaddle::fakes {
 
 /// What the stand-in does to calls.
-enum class trouble : std::uint8_t {
+enum class injected_fault : std::uint8_t {
     none,
-    down,       ///< Refuses every call with 503, nothing is applied.
-    cut,        ///< Never answers, nothing is applied.
-    slow,       ///< Answers late.
-    lose_answer ///< Applies writes, then never answers them.
+    down,         ///< Refuses every call with 503, nothing is applied.
+    unresponsive, ///< Never answers, nothing is applied.
+    slow,         ///< Answers late.
+    lose_answer   ///< Applies writes, then never answers them.
 };
 
 } // namespace siskinpaddle::fakes
 
 template <>
-inline constexpr std::array siskinpaddle::enum_names<siskinpaddle::fakes::trouble>{
-    std::pair{siskinpaddle::fakes::trouble::none, std::string_view("none")},
-    std::pair{siskinpaddle::fakes::trouble::down, std::string_view("down")},
-    std::pair{siskinpaddle::fakes::trouble::cut, std::string_view("cut")},
-    std::pair{siskinpaddle::fakes::trouble::slow, std::string_view("slow")},
-    std::pair{siskinpaddle::fakes::trouble::lose_answer, std::string_view("lose-answer")}};
+inline constexpr std::array siskinpaddle::enum_names<siskinpaddle::fakes::injected_fault>{
+    std::pair{siskinpaddle::fakes::injected_fault::none, std::string_view("none")},
+    std::pair{siskinpaddle::fakes::injected_fault::down, std::string_view("down")},
+    std::pair{siskinpaddle::fakes::injected_fault::unresponsive, std::string_view("cut")},
+    std::pair{siskinpaddle::fakes::injected_fault::slow, std::string_view("slow")},
+    std::pair{siskinpaddle::fakes::injected_fault::lose_answer, std::string_view("lose-answer")}};
 
 namespace siskinpaddle::fakes {
 
@@ -51,8 +51,8 @@
 
     /// Sets the trouble for one caller, or for all with an empty name. `next_writes` bounds it to that many
     /// writes.
-    void set_trouble(const std::string& caller, trouble kind, milliseconds delay = milliseconds{0},
-                     int next_writes = -1);
+    void set_fault(const std::string& caller, injected_fault kind, milliseconds delay = milliseconds{0},
+                   int next_writes = -1);
 
     [[nodiscard]] const std::map<std::string, caller_usage>& usage() const noexcept { return m_usage; }
 
@@ -80,13 +80,13 @@
         timestamp until{0};
     };
     struct watcher {
-        request_ptr from;
+        request_ptr request;
         std::string key;
         std::uint64_t after = 0;
         timestamp until{0};
     };
     struct vm {
-        listed_vm shown;
+        listed_vm listed;
         timestamp alive_until{0};
         timestamp listed_from{0};
         std::string order_pool;
@@ -94,26 +94,26 @@
         std::string done_operation;
         bool is_static = false;
     };
-    struct trouble_state {
-        trouble kind = trouble::none;
+    struct fault_state {
+        injected_fault kind = injected_fault::none;
         milliseconds delay{0};
         int writes_left = -1;
     };
 
-    void receive(const request_ptr& from);
-    void handle(const request_ptr& from);
-    [[nodiscard]] bool troubled(const request_ptr& from);
-    void handle_kv(const request_ptr& from, const std::string& key);
-    void handle_put(const request_ptr& from, const std::string& key);
-    void handle_lease(const request_ptr& from, const std::string& name);
-    void handle_vms(const request_ptr& from);
-    void handle_reboot(const request_ptr& from, const std::string& id);
-    void handle_vm_poll(const request_ptr& from, const std::string& id);
-    void handle_control(const request_ptr& from);
-    void reply(const request_ptr& from, int code, std::string_view body = {}, std::uint64_t version = 0);
+    void receive_request(const request_ptr& request);
+    void handle(const request_ptr& request);
+    [[nodiscard]] bool apply_fault(const request_ptr& request);
+    void handle_kv(const request_ptr& request, const std::string& key);
+    void handle_put(const request_ptr& request, const std::string& key);
+    void handle_lease(const request_ptr& request, const std::string& name);
+    void handle_vms(const request_ptr& request);
+    void handle_reboot(const request_ptr& request, const std::string& id);
+    void handle_vm_poll(const request_ptr& request, const std::string& id);
+    void handle_control(const request_ptr& request);
+    void reply(const request_ptr& request, int code, std::string_view body = {}, std::uint64_t version = 0);
     void notify(const std::string& key);
     void tick();
-    caller_usage& usage_of(const server_request& from);
+    caller_usage& usage_of(const server_request& request);
 
     event_loop& m_loop;
     milliseconds m_list_lag;
@@ -123,7 +123,7 @@
     std::map<std::string, lease> m_leases;
     std::list<watcher> m_watchers;
     std::map<std::string, vm> m_vms;
-    std::map<std::string, trouble_state> m_troubles;
+    std::map<std::string, fault_state> m_faults;
     std::map<std::string, caller_usage> m_usage;
     std::vector<request_ptr> m_unanswered;
     std::list<std::unique_ptr<timer>> m_delays;
--- a/tests/fakes/fake_vm.cpp
+++ b/tests/fakes/fake_vm.cpp
@@ -18,63 +18,63 @@
 
 bool fake_vm::start() {
     poll();
-    return open();
+    return open_servers();
 }
 
-bool fake_vm::open() {
+bool fake_vm::open_servers() {
     http_server_limits limits;
     limits.max_connections = 64;
     m_target = std::make_unique<http_server>(
-        m_loop, limits, [this](const std::shared_ptr<server_request>& from) { receive(from); });
+        m_loop, limits, [this](const std::shared_ptr<server_request>& request) { handle_request(request); });
     m_agent = std::make_unique<http_server>(
         m_loop, http_server_limits{},
-        [this](const std::shared_ptr<server_request>& from) { receive_tasks(from); });
+        [this](const std::shared_ptr<server_request>& request) { handle_task_calls(request); });
     return m_target->listen(m_settings.target) &&
            m_agent->listen({m_settings.target.address, m_settings.agent_port});
 }
 
-void fake_vm::log(std::string_view what, const std::string& id) {
+void fake_vm::log(std::string_view event, const std::string& id) {
     if (m_log.is_open()) {
-        m_log << what << ' ' << id << ' ' << (m_pool.empty() ? "-" : m_pool) << std::endl;
+        m_log << event << ' ' << id << ' ' << (m_pool.empty() ? "-" : m_pool) << std::endl;
     }
 }
 
-void fake_vm::receive(const std::shared_ptr<server_request>& from) {
+void fake_vm::handle_request(const std::shared_ptr<server_request>& request) {
     http_headers headers;
     headers.add("Target-Pool", m_pool);
-    if (path_of_target(from->target()) == "/health") {
-        from->reply(200, headers, "");
+    if (path_of_target(request->target()) == "/health") {
+        request->reply(200, headers, "");
         return;
     }
     if (on_request) {
-        on_request(from);
+        on_request(request);
         return;
     }
-    if (m_work.size() >= m_settings.slots) {
+    if (m_active_requests.size() >= m_settings.slots) {
         headers.add("Target-Refusal", "not-run");
-        from->reply(503, headers, "");
+        request->reply(503, headers, "");
         return;
     }
-    const std::string id(from->headers().get("Caller-Request"));
-    const std::string_view wanted = from->headers().get("Work-Ms");
-    const milliseconds time = wanted.empty()
-                                  ? m_settings.service_time
-                                  : milliseconds(std::strtoll(std::string(wanted).c_str(), nullptr, 10));
+    const std::string id(request->headers().get("Caller-Request"));
+    const std::string_view requested_time = request->headers().get("Work-Ms");
+    const milliseconds time =
+        requested_time.empty() ? m_settings.service_time
+                               : milliseconds(std::strtoll(std::string(requested_time).c_str(), nullptr, 10));
     ++m_runs[id];
     log("run", id);
-    m_work.push_back({from, id, nullptr});
-    const auto item = std::prev(m_work.end());
-    item->done = m_loop.make_timer([this, item, headers] {
+    m_active_requests.push_back({request, id, nullptr});
+    const auto item = std::prev(m_active_requests.end());
+    item->done_timer = m_loop.make_timer([this, item, headers] {
         log("end", item->id);
-        item->from->reply(200, headers, item->id + " " + item->from->body());
+        item->request->reply(200, headers, item->id + " " + item->request->body());
         // The timer is still running its own action here.
         m_loop.post([this, alive = m_lifetime.weak_token(), item] {
             if (!alive.expired()) {
-                m_work.erase(item);
+                m_active_requests.erase(item);
             }
         });
     });
-    item->done->start(time);
+    item->done_timer->start(time);
 }
 
 task_report fake_vm::apply(const task_call& call, milliseconds lease) {
@@ -101,7 +101,7 @@
     if (item.state == task_state::running && m_settings.fail_tasks) {
         item.state = task_state::failed;
     }
-    if (item.state == task_state::running && item.ends <= now) {
+    if (item.state == task_state::running && item.ends_at <= now) {
         item.state = task_state::done;
     }
     if (item.state == task_state::running && item.lease_until < now) {
@@ -111,19 +111,19 @@
     return {call.job, call.epoch, item.state, item.used};
 }
 
-void fake_vm::receive_tasks(const std::shared_ptr<server_request>& from) {
+void fake_vm::handle_task_calls(const std::shared_ptr<server_request>& request) {
     findings problems;
     milliseconds lease{0};
-    const std::vector<task_call> calls = decode_task_calls(from->body(), lease, problems);
+    const std::vector<task_call> calls = decode_task_calls(request->body(), lease, problems);
     if (!problems.empty()) {
-        from->reply(400, {}, problems.to_string());
+        request->reply(400, {}, problems.to_string());
         return;
     }
     worker_answer answer{m_boot, {}};
     for (const task_call& call : calls) {
         answer.tasks.push_back(apply(call, lease));
     }
-    from->reply(200, {}, encode_worker_answer(answer));
+    request->reply(200, {}, encode_worker_answer(answer));
 }
 
 void fake_vm::poll() {
@@ -161,17 +161,17 @@
 
 void fake_vm::reboot(const std::string& operation, const std::string& pool) {
     m_rebooting = true;
-    for (const work& item : m_work) {
+    for (const active_request& item : m_active_requests) {
         log("cut", item.id);
     }
-    m_work.clear();
+    m_active_requests.clear();
     m_tasks.clear();
     m_reboot_timer = m_loop.make_timer([this, operation, pool] {
         m_pool = pool;
         ++m_boot;
         m_done_operation = operation;
         m_rebooting = false;
-        (void)open();
+        (void)open_servers();
     });
     // Servers are taken down outside of their own callbacks.
     m_loop.post([this, alive = m_lifetime.weak_token()] {
--- a/tests/fakes/fake_vm.hpp
+++ b/tests/fakes/fake_vm.hpp
@@ -45,26 +45,26 @@
     [[nodiscard]] const std::string& pool() const noexcept { return m_pool; }
 
   private:
-    struct work {
-        std::shared_ptr<server_request> from;
+    struct active_request {
+        std::shared_ptr<server_request> request;
         std::string id;
-        std::unique_ptr<timer> done;
+        std::unique_ptr<timer> done_timer;
     };
     struct task {
         std::uint32_t epoch = 0;
         task_state state = task_state::running;
-        timestamp ends{0};
+        timestamp ends_at{0};
         timestamp lease_until{0};
         job_size used;
     };
 
-    [[nodiscard]] bool open();
-    void receive(const std::shared_ptr<server_request>& from);
-    void receive_tasks(const std::shared_ptr<server_request>& from);
+    [[nodiscard]] bool open_servers();
+    void handle_request(const std::shared_ptr<server_request>& request);
+    void handle_task_calls(const std::shared_ptr<server_request>& request);
     [[nodiscard]] task_report apply(const task_call& call, milliseconds lease);
     void poll();
     void reboot(const std::string& operation, const std::string& pool);
-    void log(std::string_view what, const std::string& id);
+    void log(std::string_view event, const std::string& id);
 
     event_loop& m_loop;
     fake_vm_settings m_settings;
@@ -72,7 +72,7 @@
     std::uint64_t m_boot = 1;
     std::string m_done_operation;
     bool m_rebooting = false;
-    std::list<work> m_work;
+    std::list<active_request> m_active_requests;
     std::map<std::string, int> m_runs;
     std::map<std::string, task> m_tasks;
     std::unique_ptr<http_server> m_target;
--- a/tests/fakes/platform_store.cpp
+++ b/tests/fakes/platform_store.cpp
@@ -18,7 +18,7 @@
 /// Above the time after which a caller takes a call for unanswered and sends it again.
 constexpr milliseconds late_write_delay = 3s;
 
-std::string decoded(const std::string& text) {
+std::string uri_decode(const std::string& text) {
     size_t size = 0;
     char* plain = evhttp_uridecode(text.c_str(), 0, &size);
     std::string result(plain, size);
@@ -26,11 +26,11 @@
     return result;
 }
 
-std::string parameter(const server_request& request, std::string_view name) {
-    return decoded(query_parameter(request.target(), name));
+std::string get_parameter(const server_request& request, std::string_view name) {
+    return uri_decode(query_parameter(request.target(), name));
 }
 
-std::string encoded(const std::string& bytes) {
+std::string base64_encode(const std::string& bytes) {
     std::string text((bytes.size() + 2) / 3 * 4 + 1, '\0');
     const int length =
         EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()),
@@ -40,7 +40,7 @@
 }
 
 /// What the store's bound on a transaction counts.
-std::size_t entries_of(const boost::json::object& transaction) {
+std::size_t count_entries(const boost::json::object& transaction) {
     std::size_t entries = 0;
     for (const std::string_view list : {wire::conditions, wire::writes, wire::removals}) {
         entries += transaction.at(list).as_array().size();
@@ -56,7 +56,7 @@
 } // namespace
 
 platform_store::platform_store(event_loop& loop)
-    : m_loop(loop), m_server(loop, {}, [this](const request_handle& request) { take(request); }),
+    : m_loop(loop), m_server(loop, {}, [this](const request_handle& request) { handle_request(request); }),
       m_timer(loop.make_timer([this] { tick(); })) {
     m_timer->start(tick_interval);
 }
@@ -67,7 +67,7 @@
     request->reply(code, headers, boost::json::serialize(body));
 }
 
-std::size_t platform_store::calls(const std::string& path) const {
+std::size_t platform_store::call_count(const std::string& path) const {
     const auto found = m_calls.find(path);
     return found == m_calls.end() ? 0 : found->second;
 }
@@ -79,7 +79,7 @@
     }
 }
 
-void platform_store::take(const request_handle& request) {
+void platform_store::handle_request(const request_handle& request) {
     const std::string path(path_of_target(request->target()));
     ++m_calls[path];
     if (m_silent) {
@@ -100,7 +100,7 @@
 }
 
 void platform_store::get(const request_handle& request) {
-    const std::string key = parameter(*request, wire::key);
+    const std::string key = get_parameter(*request, wire::key);
     const auto found = m_items.find(key);
     if (found == m_items.end()) {
         reply(request, 404, {{wire::store_revision, m_revision}});
@@ -115,16 +115,16 @@
 }
 
 void platform_store::range(const request_handle& request) {
-    constexpr std::size_t page = 50; // Small, so that pages are met with few items.
-    const std::string prefix = parameter(*request, wire::prefix);
-    const std::string after = parameter(*request, wire::after);
+    constexpr std::size_t page_size = 50; // Small, so that pages are met with few items.
+    const std::string prefix = get_parameter(*request, wire::prefix);
+    const std::string after = get_parameter(*request, wire::after);
     boost::json::array items;
     bool more = false;
     for (const auto& [key, value] : m_items) {
         if (!key.starts_with(prefix) || key <= after) {
             continue;
         }
-        if (items.size() == page) {
+        if (items.size() == page_size) {
             more = true;
             break;
         }
@@ -137,32 +137,32 @@
           {{wire::items, std::move(items)}, {wire::has_more, more}, {wire::store_revision, m_revision}});
 }
 
-boost::json::array platform_store::events_for(const waiting_watch& watch) const {
+boost::json::array platform_store::events_for(const pending_watch& watch) const {
     boost::json::array events;
     for (const event& item : m_events) {
         if (item.revision <= watch.after || !item.key.starts_with(watch.prefix)) {
             continue;
         }
-        boost::json::object told{{wire::key, item.key}, {wire::revision, item.revision}};
+        boost::json::object json_event{{wire::key, item.key}, {wire::revision, item.revision}};
         if (item.deleted) {
-            told[wire::deleted] = true;
+            json_event[wire::deleted] = true;
         } else {
-            told[wire::value] = item.value;
-            told[wire::lease] = item.lease;
+            json_event[wire::value] = item.value;
+            json_event[wire::lease] = item.lease;
         }
-        events.push_back(std::move(told));
+        events.push_back(std::move(json_event));
     }
     return events;
 }
 
 void platform_store::watch(const request_handle& request) {
-    waiting_watch item;
+    pending_watch item;
     item.request = request;
-    item.prefix = parameter(*request, wire::prefix);
-    item.after = std::strtoll(parameter(*request, wire::after).c_str(), nullptr, 10);
-    item.until =
-        event_loop::now() + milliseconds(std::strtoll(parameter(*request, wire::wait).c_str(), nullptr, 10));
-    if (item.after < m_compacted) {
+    item.prefix = get_parameter(*request, wire::prefix);
+    item.after = std::strtoll(get_parameter(*request, wire::after).c_str(), nullptr, 10);
+    item.until = event_loop::now() +
+                 milliseconds(std::strtoll(get_parameter(*request, wire::wait).c_str(), nullptr, 10));
+    if (item.after < m_compacted_revision) {
         reply(request, 410, {});
         return;
     }
@@ -170,7 +170,7 @@
     answer_watches();
 }
 
-bool platform_store::holds(const boost::json::array& events) const {
+bool platform_store::has_held_event(const boost::json::array& events) const {
     return !m_held_events.empty() && std::ranges::any_of(events, [this](const boost::json::value& event) {
         return std::string_view(event.at(wire::key).as_string()).starts_with(m_held_events);
     });
@@ -183,7 +183,7 @@
             continue;
         }
         boost::json::array events = events_for(*item);
-        if ((events.empty() && event_loop::now() < item->until) || holds(events)) {
+        if ((events.empty() && event_loop::now() < item->until) || has_held_event(events)) {
             ++item;
             continue;
         }
@@ -207,7 +207,7 @@
 
 void platform_store::put(const std::string& key, const std::string& value, std::int64_t lease) {
     ++m_revision;
-    const item written{encoded(value), m_revision, lease};
+    const item written{base64_encode(value), m_revision, lease};
     apply(key, &written);
     answer_watches();
 }
@@ -231,28 +231,28 @@
     return found == m_items.end() ? 0 : found->second.revision;
 }
 
-bool platform_store::holds(const std::string& key, const std::string& value) const {
+bool platform_store::has_value(const std::string& key, const std::string& value) const {
     const auto found = m_items.find(key);
-    return found != m_items.end() && found->second.value == encoded(value);
+    return found != m_items.end() && found->second.value == base64_encode(value);
 }
 
 void platform_store::transact(const request_handle& request) {
     const boost::json::object body = boost::json::parse(request->body()).as_object();
-    if (entries_of(body) > platform::max_transaction_entries) {
+    if (count_entries(body) > platform::max_transaction_entries) {
         reply(request, 400, {});
         return;
     }
     if (m_late_writes > 0) {
         --m_late_writes;
         m_unanswered.push_back(request); // Its sender hears nothing of it.
-        m_late.push_back({body, event_loop::now() + late_write_delay});
+        m_late_transactions.push_back({body, event_loop::now() + late_write_delay});
         return;
     }
-    if (is_held(body)) {
+    if (is_write_held(body)) {
         m_held_writes.push_back(request);
         return;
     }
-    if (!holds(body)) {
+    if (!conditions_hold(body)) {
         ++m_conflicts;
         reply(request, 412, {{wire::items, present_items(body)}});
         return;
@@ -264,7 +264,7 @@
             return;
         }
     }
-    carry_out(body);
+    apply_transaction(body);
     if (m_lost_answers > 0) {
         --m_lost_answers;
         m_unanswered.push_back(request);
@@ -274,7 +274,7 @@
     answer_watches();
 }
 
-bool platform_store::holds(const boost::json::object& body) const {
+bool platform_store::conditions_hold(const boost::json::object& body) const {
     for (const boost::json::value& row : body.at(wire::conditions).as_array()) {
         const auto found = m_items.find(row.at(wire::key).as_string());
         const std::int64_t revision = found == m_items.end() ? 0 : found->second.revision;
@@ -285,12 +285,12 @@
     return true;
 }
 
-bool platform_store::is_held(const boost::json::object& body) const {
-    if (m_held_prefix.empty()) {
+bool platform_store::is_write_held(const boost::json::object& body) const {
+    if (m_held_write_prefix.empty()) {
         return false;
     }
     const auto matches = [this](const boost::json::string& key) {
-        return std::string_view(key).starts_with(m_held_prefix);
+        return std::string_view(key).starts_with(m_held_write_prefix);
     };
     return std::ranges::any_of(body.at(wire::writes).as_array(),
                                [&](const auto& row) { return matches(row.at(wire::key).as_string()); }) ||
@@ -299,7 +299,7 @@
 }
 
 void platform_store::hold_writes(const std::string& prefix) {
-    m_held_prefix = prefix;
+    m_held_write_prefix = prefix;
     if (!prefix.empty()) {
         return;
     }
@@ -322,7 +322,7 @@
     return items;
 }
 
-void platform_store::carry_out(const boost::json::object& body) {
+void platform_store::apply_transaction(const boost::json::object& body) {
     ++m_revision;
     for (const boost::json::value& row : body.at(wire::writes).as_array()) {
         const item written{std::string(row.at(wire::value).as_string()), m_revision,
@@ -354,7 +354,7 @@
     }
 }
 
-void platform_store::lapse_leases() {
+void platform_store::expire_leases() {
     for (auto& [id, until] : m_leases) {
         until.first = timestamp(0);
     }
@@ -364,22 +364,22 @@
 void platform_store::tick() {
     m_timer->start(tick_interval);
     const timestamp now = event_loop::now();
-    while (!m_late.empty() && m_late.front().second <= now) {
-        const boost::json::object body = std::move(m_late.front().first);
-        m_late.pop_front();
-        if (holds(body)) {
-            carry_out(body);
+    while (!m_late_transactions.empty() && m_late_transactions.front().second <= now) {
+        const boost::json::object body = std::move(m_late_transactions.front().first);
+        m_late_transactions.pop_front();
+        if (conditions_hold(body)) {
+            apply_transaction(body);
         }
     }
-    std::vector<std::string> ended;
+    std::vector<std::string> expired_keys;
     for (const auto& [key, value] : m_items) {
         const auto lease = m_leases.find(value.lease);
         if (lease != m_leases.end() && lease->second.first <= now) {
-            ended.push_back(key);
+            expired_keys.push_back(key);
         }
     }
     std::erase_if(m_leases, [&](const auto& item) { return item.second.first <= now; });
-    for (const std::string& key : ended) {
+    for (const std::string& key : expired_keys) {
         ++m_revision;
         apply(key, nullptr);
     }
--- a/tests/fakes/platform_store.hpp
+++ b/tests/fakes/platform_store.hpp
@@ -29,10 +29,10 @@
     /// Revision of an item; 0: there is none.
     [[nodiscard]] std::int64_t revision_of(const std::string& key) const;
     /// Whether the item is there with this value.
-    [[nodiscard]] bool holds(const std::string& key, const std::string& value) const;
+    [[nodiscard]] bool has_value(const std::string& key, const std::string& value) const;
 
     /// Calls that have come so far for `path`, answered or not.
-    [[nodiscard]] std::size_t calls(const std::string& path) const;
+    [[nodiscard]] std::size_t call_count(const std::string& path) const;
 
     /// Answers nothing and does nothing.
     void set_silent(bool silent);
@@ -46,7 +46,7 @@
     /// Transactions that were refused since a condition did not hold.
     [[nodiscard]] std::size_t conflicts() const noexcept { return m_conflicts; }
     /// Transactions that are still to be carried out late.
-    [[nodiscard]] std::size_t late_writes() const noexcept { return m_late.size(); }
+    [[nodiscard]] std::size_t pending_late_writes() const noexcept { return m_late_transactions.size(); }
     /// Answers no watch under `prefix`; empty: answers all.
     void hold_watches(std::string prefix) { m_held_watches = std::move(prefix); }
     /// Answers no watch whose answer holds an item under `prefix`, as if it were large and its link slow;
@@ -58,9 +58,9 @@
     /// Calls back after each change, before anybody hears of it.
     void on_change(std::function<void(const std::string& key)> handler) { m_on_change = std::move(handler); }
     /// Forgets its history: watches of older revisions are told so.
-    void compact() { m_compacted = m_revision; }
+    void compact() { m_compacted_revision = m_revision; }
     /// Lets all leases run out at once.
-    void lapse_leases();
+    void expire_leases();
 
   private:
     struct item {
@@ -75,7 +75,7 @@
         std::string value;
         std::int64_t lease = 0;
     };
-    struct waiting_watch {
+    struct pending_watch {
         std::shared_ptr<server_request> request;
         std::string prefix;
         std::int64_t after = 0;
@@ -83,20 +83,20 @@
     };
     using request_handle = std::shared_ptr<server_request>;
 
-    void take(const request_handle& request);
+    void handle_request(const request_handle& request);
     void get(const request_handle& request);
     void range(const request_handle& request);
     void watch(const request_handle& request);
     void transact(const request_handle& request);
     void lease(const request_handle& request);
-    [[nodiscard]] bool holds(const boost::json::object& body) const;
-    [[nodiscard]] bool is_held(const boost::json::object& body) const;
+    [[nodiscard]] bool conditions_hold(const boost::json::object& body) const;
+    [[nodiscard]] bool is_write_held(const boost::json::object& body) const;
     [[nodiscard]] boost::json::array present_items(const boost::json::object& body) const;
-    void carry_out(const boost::json::object& body);
+    void apply_transaction(const boost::json::object& body);
     void apply(const std::string& key, const item* value);
     void answer_watches();
-    [[nodiscard]] bool holds(const boost::json::array& events) const;
-    [[nodiscard]] boost::json::array events_for(const waiting_watch& watch) const;
+    [[nodiscard]] bool has_held_event(const boost::json::array& events) const;
+    [[nodiscard]] boost::json::array events_for(const pending_watch& watch) const;
     void tick();
     static void reply(const request_handle& request, int code, const boost::json::object& body);
 
@@ -105,12 +105,12 @@
     std::unique_ptr<timer> m_timer;
     std::map<std::string, item, std::less<>> m_items;
     std::vector<event> m_events;
-    std::list<waiting_watch> m_watches;
+    std::list<pending_watch> m_watches;
     std::vector<request_handle> m_unanswered;
     std::map<std::string, std::size_t> m_calls;                          ///< By path.
     std::map<std::int64_t, std::pair<timestamp, milliseconds>> m_leases; ///< Until when, and for how long.
     std::int64_t m_revision = 0;
-    std::int64_t m_compacted = 0;
+    std::int64_t m_compacted_revision = 0;
     std::int64_t m_next_lease = 1000;
     bool m_silent = false;
     bool m_busy = false;
@@ -120,9 +120,10 @@
     std::function<void(const std::string&)> m_on_change;
     std::string m_held_watches;
     std::string m_held_events;
-    std::string m_held_prefix;
+    std::string m_held_write_prefix;
     std::vector<request_handle> m_held_writes;
-    std::deque<std::pair<boost::json::object, timestamp>> m_late; ///< Transactions, and when they are due.
+    std::deque<std::pair<boost::json::object, timestamp>>
+        m_late_transactions; ///< Transactions, and when they are due.
 };
 
 } // namespace siskinpaddle::fakes
--- a/tests/fakes/task_machine.cpp
+++ b/tests/fakes/task_machine.cpp
@@ -7,34 +7,34 @@
 namespace {
 
 /// The platform takes a VM that went silent off its list after three heartbeats.
-constexpr milliseconds delist_after = 4500ms;
+constexpr milliseconds delist_delay = 4500ms;
 
 } // namespace
 
 task_machine::task_machine(event_loop& loop, platform_store& store, settings options)
     : m_loop(loop), m_store(store), m_settings(std::move(options)),
       m_crash_timer(loop.make_timer([this] { crash(); })),
-      m_life_timer(loop.make_timer([this] { begin_life(); })) {}
+      m_restart_timer(loop.make_timer([this] { start_incarnation(); })) {}
 
 bool task_machine::start() {
-    begin_life();
-    return !m_failed;
+    start_incarnation();
+    return !m_listen_failed;
 }
 
-void task_machine::begin_life() {
-    if (m_vm != nullptr || m_held_down > 0) {
+void task_machine::start_incarnation() {
+    if (m_vm != nullptr || m_restart_blocks > 0) {
         return;
     }
-    const std::string incarnation = m_settings.name + "-" + std::to_string(++m_lives);
+    const std::string incarnation = m_settings.name + "-" + std::to_string(++m_incarnation_count);
     m_vm = std::make_unique<task_vm>(m_loop, incarnation, m_settings.run_time);
     m_vm->set_machine(m_settings.name);
     m_vm->set_clock_rate(m_settings.clock_rate);
     // Not from within the VM's own timer.
     m_vm->on_crash([this] { m_crash_timer->start(0ms); });
-    m_failed = !m_vm->listen({"127.0.0.1", m_port});
+    m_listen_failed = !m_vm->listen({"127.0.0.1", m_port});
     m_port = m_vm->port();
-    if (m_on_life) {
-        m_on_life({"127.0.0.1", m_port});
+    if (m_on_incarnation_start) {
+        m_on_incarnation_start({"127.0.0.1", m_port});
     }
     register_vm();
 }
@@ -65,26 +65,26 @@
         return;
     }
     for (task_vm::run_record run : m_vm->runs()) {
-        if (run.ended == timestamp(0)) {
-            run.ended = event_loop::now();
-            run.how = "crashed";
+        if (run.ended_at == timestamp(0)) {
+            run.ended_at = event_loop::now();
+            run.outcome = "crashed";
         }
         m_past_runs.push_back({m_vm->incarnation(), run});
     }
-    m_to_delist[m_vm->incarnation()] = event_loop::now() + delist_after;
+    m_delist_at[m_vm->incarnation()] = event_loop::now() + delist_delay;
     m_vm.reset();
-    m_life_timer->start(m_settings.down_time);
+    m_restart_timer->start(m_settings.down_time);
 }
 
-void task_machine::hold_down(bool on) {
-    m_held_down += on ? 1 : -1;
-    if (m_held_down == 0 && m_vm == nullptr) {
-        m_life_timer->start(0ms);
+void task_machine::block_restart(bool enabled) {
+    m_restart_blocks += enabled ? 1 : -1;
+    if (m_restart_blocks == 0 && m_vm == nullptr) {
+        m_restart_timer->start(0ms);
     }
 }
 
-void task_machine::tend() {
-    std::erase_if(m_to_delist, [this](const auto& item) {
+void task_machine::remove_expired_registrations() {
+    std::erase_if(m_delist_at, [this](const auto& item) {
         if (event_loop::now() < item.second) {
             return false;
         }
--- a/tests/fakes/task_machine.hpp
+++ b/tests/fakes/task_machine.hpp
@@ -15,7 +15,7 @@
 /// What a VM had room for from a moment on.
 struct vm_capacity {
     std::string vm;
-    timestamp from{0};
+    timestamp valid_from{0};
     std::int64_t cpu_millicores = 0;
 };
 
@@ -48,24 +48,26 @@
     /// Its VM says that it will leave; crash() is its leaving.
     void drain();
     /// No life begins while it is held down. Calls with `true` and `false` pair up.
-    void hold_down(bool on);
+    void block_restart(bool enabled);
     /// From now on its VMs register under this port; for one that is reached through a proxy.
-    void register_port(std::uint16_t port) { m_registered_port = port; }
+    void set_registered_port(std::uint16_t port) { m_registered_port = port; }
     /// Called with the address of each new life before it is registered.
-    void on_life(std::function<void(endpoint)> handler) { m_on_life = std::move(handler); }
+    void on_incarnation_start(std::function<void(endpoint)> handler) {
+        m_on_incarnation_start = std::move(handler);
+    }
     /// Removes entries of lives that have been silent for three heartbeats; call often.
-    void tend();
+    void remove_expired_registrations();
 
     /// Null while it is down.
     [[nodiscard]] task_vm* vm() const noexcept { return m_vm.get(); }
-    [[nodiscard]] std::uint32_t lives() const noexcept { return m_lives; }
+    [[nodiscard]] std::uint32_t incarnation_count() const noexcept { return m_incarnation_count; }
     /// All runs of all lives. Those that a crash ended have `how` "crashed".
     [[nodiscard]] std::vector<vm_run> runs() const;
     /// All capacities of all lives, in the order of time.
     [[nodiscard]] const std::vector<vm_capacity>& capacities() const noexcept { return m_capacities; }
 
   private:
-    void begin_life();
+    void start_incarnation();
     void register_vm();
 
     event_loop& m_loop;
@@ -73,17 +75,17 @@
     settings m_settings;
     std::unique_ptr<task_vm> m_vm;
     std::unique_ptr<timer> m_crash_timer;
-    std::unique_ptr<timer> m_life_timer;
-    std::function<void(endpoint)> m_on_life;
+    std::unique_ptr<timer> m_restart_timer;
+    std::function<void(endpoint)> m_on_incarnation_start;
     std::optional<std::uint16_t> m_registered_port;
     std::uint16_t m_port = 0;
     jobs::resources m_capacity{4000, 8192, 0};
-    std::uint32_t m_lives = 0;
-    std::uint32_t m_held_down = 0;
-    bool m_failed = false; ///< It could not listen.
+    std::uint32_t m_incarnation_count = 0;
+    std::uint32_t m_restart_blocks = 0;
+    bool m_listen_failed = false; ///< It could not listen.
     std::vector<vm_run> m_past_runs;
     std::vector<vm_capacity> m_capacities;
-    std::map<std::string, timestamp> m_to_delist;
+    std::map<std::string, timestamp> m_delist_at;
 };
 
 } // namespace siskinpaddle::fakes
--- a/tests/fakes/task_vm.cpp
+++ b/tests/fakes/task_vm.cpp
@@ -23,7 +23,7 @@
 }
 
 /// Whether the payload lets this task crash its VM.
-bool crashes(const std::string& payload, const std::string& task) {
+bool is_crash_payload(const std::string& payload, const std::string& task) {
     return payload.starts_with(crash_prefix) &&
            payload.substr(crash_prefix.size()) == task.substr(task.rfind('.') + 1);
 }
@@ -38,7 +38,8 @@
 
 task_vm::task_vm(event_loop& loop, std::string incarnation, milliseconds run_time)
     : m_loop(loop), m_incarnation(std::move(incarnation)), m_machine("m-" + m_incarnation),
-      m_run_time(run_time), m_server(loop, {}, [this](const request_handle& request) { take(request); }),
+      m_run_time(run_time),
+      m_server(loop, {}, [this](const request_handle& request) { handle_request(request); }),
       m_timer(loop.make_timer([this] { tick(); })) {
     m_timer->start(tick_interval);
 }
@@ -71,13 +72,13 @@
     request->reply(code, headers, boost::json::serialize(body));
 }
 
-void task_vm::take(const request_handle& request) {
+void task_vm::handle_request(const request_handle& request) {
     if (m_silent) {
         m_unanswered.push_back(request);
         return;
     }
     const boost::json::object body = boost::json::parse(request->body()).as_object();
-    if (is_withheld(request, body)) {
+    if (withhold_answer(request, body)) {
         m_unanswered.push_back(request);
         return;
     }
@@ -85,11 +86,11 @@
         reply(request, 421, {});
         return;
     }
-    if (number(body, wire::fencing_token) < m_token) {
+    if (number(body, wire::fencing_token) < m_fencing_token) {
         reply(request, 409, {{wire::reason, wire::fenced}});
         return;
     }
-    m_token = number(body, wire::fencing_token);
+    m_fencing_token = number(body, wire::fencing_token);
     const std::string path(path_of_target(request->target()));
     if (path == wire::start_path) {
         start(request, body);
@@ -101,7 +102,7 @@
 }
 
 /// Whether the order is one of those that get no answer.
-bool task_vm::is_withheld(const request_handle& request, const boost::json::object& body) {
+bool task_vm::withhold_answer(const request_handle& request, const boost::json::object& body) {
     const std::string path(path_of_target(request->target()));
     if (path == wire::stop_path && m_lost_stops > 0) {
         --m_lost_stops;
@@ -109,25 +110,25 @@
     }
     if (path == wire::start_path && m_late_starts > 0) {
         --m_late_starts;
-        m_late.push_back({body, event_loop::now() + m_start_delay});
+        m_late_orders.push_back({body, event_loop::now() + m_start_delay});
         return true;
     }
     return false;
 }
 
-void task_vm::carry_out_late() {
-    while (!m_late.empty() && m_late.front().due <= event_loop::now()) {
-        const boost::json::object body = std::move(m_late.front().body);
-        m_late.pop_front();
-        if (number(body, wire::fencing_token) >= m_token) {
-            m_token = number(body, wire::fencing_token);
-            begin_run(body);
+void task_vm::start_late_runs() {
+    while (!m_late_orders.empty() && m_late_orders.front().due <= event_loop::now()) {
+        const boost::json::object body = std::move(m_late_orders.front().body);
+        m_late_orders.pop_front();
+        if (number(body, wire::fencing_token) >= m_fencing_token) {
+            m_fencing_token = number(body, wire::fencing_token);
+            start_run(body);
         }
     }
 }
 
 void task_vm::start(const request_handle& request, const boost::json::object& body) {
-    if (const std::string_view refusal = begin_run(body); !refusal.empty()) {
+    if (const std::string_view refusal = start_run(body); !refusal.empty()) {
         reply(request, 409, {{wire::reason, refusal}});
         return;
     }
@@ -135,20 +136,20 @@
 }
 
 /// Returns the reason of a refusal; empty if the run has begun.
-std::string_view task_vm::begin_run(const boost::json::object& body) {
+std::string_view task_vm::start_run(const boost::json::object& body) {
     const std::string task(body.at(wire::task).as_string());
     const std::int64_t attempt = number(body, wire::attempt);
     if (number(body, wire::deadline) < clock_ms()) {
         return wire::deadline_passed;
     }
-    if (attempt <= m_highest[task]) {
+    if (attempt <= m_highest_attempts[task]) {
         return wire::outdated_attempt;
     }
     m_lease_until = std::max(m_lease_until, number(body, wire::deadline));
-    m_highest[task] = attempt;
+    m_highest_attempts[task] = attempt;
     const std::string payload(body.at(wire::payload).as_string());
-    const bool endless = payload == endless_payload;
-    if (crashes(payload, task)) {
+    const bool long_running = payload == long_running_payload;
+    if (is_crash_payload(payload, task)) {
         m_crashes_at = std::min(m_crashes_at.value_or(timestamp::max()), event_loop::now() + crash_delay);
     }
     m_runs.push_back({task,
@@ -157,7 +158,7 @@
                       timestamp(0),
                       {},
                       timestamp(0),
-                      endless,
+                      long_running,
                       number(body, wire::fencing_token)});
     return {};
 }
@@ -165,9 +166,9 @@
 void task_vm::stop(const request_handle& request, const boost::json::object& body) {
     const std::string task(body.at(wire::task).as_string());
     const std::int64_t attempt = number(body, wire::attempt);
-    m_highest[task] = std::max(m_highest[task], attempt);
+    m_highest_attempts[task] = std::max(m_highest_attempts[task], attempt);
     for (std::size_t i = 0; i < m_runs.size(); ++i) {
-        if (m_runs[i].task == task && m_runs[i].attempt == attempt && m_runs[i].ended == timestamp(0)) {
+        if (m_runs[i].task == task && m_runs[i].attempt == attempt && m_runs[i].ended_at == timestamp(0)) {
             finish(i, "stopped");
         }
     }
@@ -177,27 +178,27 @@
 void task_vm::renew(const request_handle& request, const boost::json::object& body) {
     m_lease_until = std::max(m_lease_until, number(body, wire::deadline));
     const std::int64_t acknowledged = number(body, wire::acknowledged);
-    for (const end& item : m_ends) {
+    for (const ended_run& item : m_ends) {
         if (item.sequence <= acknowledged) {
-            m_runs[item.run].acknowledged = event_loop::now();
+            m_runs[item.run_index].acknowledged = event_loop::now();
         }
     }
-    m_ends.remove_if([&](const end& item) { return item.sequence <= acknowledged; });
+    m_ends.remove_if([&](const ended_run& item) { return item.sequence <= acknowledged; });
     m_renewals.push_back({request, event_loop::now() + milliseconds(number(body, wire::wait))});
     answer_renewals();
 }
 
-boost::json::object task_vm::lists() const {
+boost::json::object task_vm::list_runs() const {
     boost::json::array running;
     for (const run_record& item : m_runs) {
-        if (item.ended == timestamp(0)) {
+        if (item.ended_at == timestamp(0)) {
             running.push_back(boost::json::array{item.task, item.attempt, "", 100, 0});
         }
     }
     boost::json::array finished;
-    for (const end& item : m_ends) {
-        const run_record& run = m_runs[item.run];
-        finished.push_back(boost::json::array{item.sequence, run.task, run.attempt, run.how, ""});
+    for (const ended_run& item : m_ends) {
+        const run_record& run = m_runs[item.run_index];
+        finished.push_back(boost::json::array{item.sequence, run.task, run.attempt, run.outcome, ""});
     }
     return {{wire::running, std::move(running)}, {wire::ended, std::move(finished)}};
 }
@@ -208,15 +209,15 @@
             ++item;
             continue;
         }
-        reply(item->request, 200, lists());
+        reply(item->request, 200, list_runs());
         item = m_renewals.erase(item);
     }
 }
 
-void task_vm::finish(std::size_t run, const char* how) {
-    m_runs[run].ended = event_loop::now();
-    m_runs[run].how = how;
-    m_ends.push_back({m_next_end++, run});
+void task_vm::finish(std::size_t run_index, const char* outcome) {
+    m_runs[run_index].ended_at = event_loop::now();
+    m_runs[run_index].outcome = outcome;
+    m_ends.push_back({m_next_end++, run_index});
 }
 
 /// Only once: the machine ends this life then.
@@ -230,16 +231,16 @@
 void task_vm::tick() {
     m_timer->start(tick_interval);
     crash_if_due();
-    carry_out_late();
+    start_late_runs();
     for (std::size_t i = 0; i < m_runs.size(); ++i) {
-        if (m_runs[i].ended != timestamp(0)) {
+        if (m_runs[i].ended_at != timestamp(0)) {
             continue;
         }
         if (clock_ms() > m_lease_until) {
             finish(i, "lapsed");
         } else if (m_failing) {
             finish(i, "failed");
-        } else if (!m_runs[i].endless && event_loop::now() - m_runs[i].began >= m_run_time) {
+        } else if (!m_runs[i].long_running && event_loop::now() - m_runs[i].started_at >= m_run_time) {
             finish(i, "done");
         }
     }
--- a/tests/fakes/task_vm.hpp
+++ b/tests/fakes/task_vm.hpp
@@ -23,16 +23,16 @@
     struct run_record {
         std::string task;
         std::int64_t attempt = 0;
-        timestamp began{0};
-        timestamp ended{0}; ///< 0: it goes on.
-        std::string how;
-        timestamp acknowledged{0}; ///< When its end was acknowledged; 0: it was not.
-        bool endless = false;      ///< It runs until it is stopped.
-        std::int64_t token = 0;    ///< Fencing token of its start.
+        timestamp started_at{0};
+        timestamp ended_at{0}; ///< 0: it goes on.
+        std::string outcome;
+        timestamp acknowledged{0};      ///< When its end was acknowledged; 0: it was not.
+        bool long_running = false;      ///< It runs until it is stopped.
+        std::int64_t fencing_token = 0; ///< Fencing token of its start.
     };
 
     /// Tasks of jobs with this payload don't end by themselves.
-    static constexpr std::string_view endless_payload = "runs until it is stopped";
+    static constexpr std::string_view long_running_payload = "runs until it is stopped";
     /// With this payload the job's tasks of this index crash their VM a moment after they have begun.
     [[nodiscard]] static std::string crash_payload(std::uint32_t index);
     static constexpr milliseconds crash_delay{10};
@@ -67,20 +67,20 @@
     /// Neither carries the next so many stops out nor answers them.
     void lose_stops(int stops) { m_lost_stops = stops; }
     /// Stops that are still to be lost.
-    [[nodiscard]] int stops_to_lose() const noexcept { return m_lost_stops; }
+    [[nodiscard]] int remaining_lost_stops() const noexcept { return m_lost_stops; }
     /// Answers none of the next so many starts and carries them out after `delay`, if they still hold then.
     void delay_starts(int starts, milliseconds delay) {
         m_late_starts = starts;
         m_start_delay = delay;
     }
     /// Starts that have come and are still to be carried out.
-    [[nodiscard]] std::size_t late_starts() const noexcept { return m_late.size(); }
+    [[nodiscard]] std::size_t pending_late_starts() const noexcept { return m_late_orders.size(); }
     /// How fast its clock runs against ours.
     void set_clock_rate(double rate) noexcept { m_clock_rate = rate; }
 
   private:
     using request_handle = std::shared_ptr<server_request>;
-    struct waiting_renewal {
+    struct pending_renewal {
         request_handle request;
         timestamp until{0};
     };
@@ -88,24 +88,24 @@
         boost::json::object body;
         timestamp due{0};
     };
-    struct end {
+    struct ended_run {
         std::int64_t sequence = 0;
-        std::size_t run = 0; ///< Position in m_runs.
+        std::size_t run_index = 0; ///< Position in m_runs.
     };
 
-    void take(const request_handle& request);
+    void handle_request(const request_handle& request);
     void start(const request_handle& request, const boost::json::object& body);
-    std::string_view begin_run(const boost::json::object& body);
-    [[nodiscard]] bool is_withheld(const request_handle& request, const boost::json::object& body);
-    void carry_out_late();
+    std::string_view start_run(const boost::json::object& body);
+    [[nodiscard]] bool withhold_answer(const request_handle& request, const boost::json::object& body);
+    void start_late_runs();
     void stop(const request_handle& request, const boost::json::object& body);
     void renew(const request_handle& request, const boost::json::object& body);
     void answer_renewals();
-    void finish(std::size_t run, const char* how);
+    void finish(std::size_t run_index, const char* outcome);
     void tick();
     void crash_if_due();
     [[nodiscard]] std::int64_t clock_ms() const;
-    [[nodiscard]] boost::json::object lists() const;
+    [[nodiscard]] boost::json::object list_runs() const;
     void reply(const request_handle& request, int code, boost::json::object body) const;
 
     event_loop& m_loop;
@@ -116,15 +116,16 @@
     http_server m_server;
     std::unique_ptr<timer> m_timer;
     std::vector<run_record> m_runs;
-    std::map<std::string, std::int64_t> m_highest; ///< Task -> highest attempt that was there or was stopped.
-    std::list<end> m_ends;
-    std::list<waiting_renewal> m_renewals;
+    std::map<std::string, std::int64_t>
+        m_highest_attempts; ///< Task -> highest attempt that was there or was stopped.
+    std::list<ended_run> m_ends;
+    std::list<pending_renewal> m_renewals;
     std::vector<request_handle> m_unanswered;
-    std::list<late_start> m_late;
+    std::list<late_start> m_late_orders;
     int m_lost_stops = 0;
     int m_late_starts = 0;
     milliseconds m_start_delay{0};
-    std::int64_t m_token = 0;
+    std::int64_t m_fencing_token = 0;
     std::int64_t m_lease_until = 0;
     std::int64_t m_next_end = 1;
     bool m_silent = false;
--- a/tests/main/entry_test.cpp
+++ b/tests/main/entry_test.cpp
@@ -138,7 +138,7 @@
 TEST_CASE("without the platform a keyed confirmation is refused at once, a quote is served") {
     deployment d;
     d.start_default();
-    d.platform.set_trouble("", fakes::trouble::down);
+    d.platform.set_fault("", fakes::injected_fault::down);
     const http_answer keyed =
         d.send_and_wait(d.settings("e1").callers, "POST", "/h/seat", "", {{"Idempotency-Key", "k1"}});
     CHECK(keyed.code == 503);
@@ -147,7 +147,7 @@
     CHECK(d.send_and_wait(d.settings("e1").callers, "GET", "/k/fare").code == 200);
     CHECK(d.send_and_wait(d.settings("e1").callers, "POST", "/h/seat").code ==
           200); // Without a key: once by this entry.
-    d.platform.set_trouble("", fakes::trouble::none);
+    d.platform.set_fault("", fakes::injected_fault::none);
     // The refusal was true, so the same key runs now, when the claim that may have stuck is given back.
     REQUIRE(d.run_until([&] {
         return d.send_and_wait(d.settings("e2").callers, "POST", "/h/seat", "", {{"Idempotency-Key", "k1"}})
@@ -165,7 +165,7 @@
             from->reply(200, {}, "done");
         };
     }
-    d.platform.set_trouble("e1", fakes::trouble::lose_answer, 0ms, 1);
+    d.platform.set_fault("e1", fakes::injected_fault::lose_answer, 0ms, 1);
     // The planner writes under the same name; only the claim's own write must be hit, so planning rests at
     // e2.
     const http_answer answer = d.send_and_wait(d.settings("e1").callers, "POST", "/h/seat", "",
@@ -215,7 +215,7 @@
 TEST_CASE("a patch whose answer is lost has the number that it got") {
     deployment d;
     d.start_default();
-    d.platform.set_trouble("e2", fakes::trouble::lose_answer, 0ms, 1);
+    d.platform.set_fault("e2", fakes::injected_fault::lose_answer, 0ms, 1);
     const http_answer answer = d.patch("e2", 1, "p1", R"({"pools":{"k":{"max_queue":7}}})");
     CHECK(answer.code == 200);
     CHECK(field(answer, "number") == "2");
--- a/tests/main/recovery_test.cpp
+++ b/tests/main/recovery_test.cpp
@@ -101,7 +101,7 @@
         d.add_entry("e2", "b");
         REQUIRE(d.run_until([&] { return d.is_up_to_date("e2"); }));
     }
-    d.platform.set_trouble("e2", fakes::trouble::cut);
+    d.platform.set_fault("e2", fakes::injected_fault::unresponsive);
     d.entries.at("e2")->set_partitioned(true);
     REQUIRE(d.patch("e1", 1, "w", R"({"waves":{"w":{"pool":"k","order":1}}})").code == 200);
     REQUIRE(d.run_until([&] {
@@ -115,7 +115,7 @@
         CHECK(vm.state != vm_state::in_maintenance);
     }
     d.entries.at("e2")->set_partitioned(false);
-    d.platform.set_trouble("e2", fakes::trouble::none);
+    d.platform.set_fault("e2", fakes::injected_fault::none);
     REQUIRE(d.run_until([&] {
         int done = 0;
         for (const vm_record& vm : d.fleet().vms) {
@@ -128,7 +128,7 @@
 TEST_CASE("a zone cut from the platform follows a patch through its peers") {
     deployment d;
     d.start_default();
-    d.platform.set_trouble("e2", fakes::trouble::cut);
+    d.platform.set_fault("e2", fakes::injected_fault::unresponsive);
     REQUIRE(d.patch("e1", 1, "p", R"({"pools":{"k":{"max_queue":7}}})").code == 200);
     REQUIRE(d.run_until(
         [&] { return field(d.send_operator_request("e2", "GET", "/v1/config"), "number") == "2"; }));
@@ -167,7 +167,7 @@
     const std::string planner = d.fleet().planner;
     REQUIRE(d.patch("e1", 1, "w", R"({"waves":{"w":{"pool":"k","order":1}}})").code == 200);
     for (int i = 0; i < 6; ++i) {
-        d.platform.set_trouble(planner, fakes::trouble::lose_answer, 0ms, 1);
+        d.platform.set_fault(planner, fakes::injected_fault::lose_answer, 0ms, 1);
         const std::uint64_t revision = d.fleet().revision;
         REQUIRE(d.run_until([&] { return d.fleet().revision > revision; }));
         int not_serving = 0;
@@ -176,7 +176,7 @@
         }
         REQUIRE(not_serving <= 1);
     }
-    d.platform.set_trouble(planner, fakes::trouble::none);
+    d.platform.set_fault(planner, fakes::injected_fault::none);
     REQUIRE(d.run_until([&] {
         return d.count_serving("k") == 2 && d.fleet().find_vm("w1")->completed_wave +
                                                     d.fleet().find_vm("w2")->completed_wave +
@@ -208,7 +208,7 @@
 TEST_CASE("all entries restart at once while the platform is slow") {
     deployment d;
     d.start_default();
-    d.platform.set_trouble("", fakes::trouble::slow, 150ms);
+    d.platform.set_fault("", fakes::injected_fault::slow, 150ms);
     for (const char* id : {"e1", "e2"}) {
         d.kill_entry(id);
     }
--- a/tests/node/cancelled_runs_test.cpp
+++ b/tests/node/cancelled_runs_test.cpp
@@ -14,7 +14,7 @@
 
 std::string body_of(int tasks, bool gang, bool long_running) {
     jobs::job_spec spec;
-    spec.payload = long_running ? fakes::task_vm::endless_payload : "s";
+    spec.payload = long_running ? fakes::task_vm::long_running_payload : "s";
     spec.steps.resize(1);
     spec.steps[0].count = static_cast<std::uint32_t>(tasks);
     spec.steps[0].need = {500, 64, 0};
@@ -52,14 +52,15 @@
 }
 
 bool all_ended(const node_deployment& d) {
-    return std::ranges::all_of(d.vms[0]->runs(), [](const auto& run) { return run.ended != timestamp(0); });
+    return std::ranges::all_of(d.vms[0]->runs(),
+                               [](const auto& run) { return run.ended_at != timestamp(0); });
 }
 
 /// Checks that every run was stopped by an order, not by the end of its lease.
 void check_stopped(const node_deployment& d) {
     for (const auto& run : d.vms[0]->runs()) {
         INFO(run.task, " attempt ", run.attempt);
-        CHECK(run.how == "stopped");
+        CHECK(run.outcome == "stopped");
     }
 }
 
@@ -80,7 +81,7 @@
         d.vms[0]->delay_starts(2, late_start_delay);
         d.vms[0]->lose_stops(many_stops);
         CHECK(d.call("n1", "POST", "/quotes/" + job_a, kind.body).code == 200);
-        REQUIRE(d.until([&] { return d.vms[0]->late_starts() == 2; }));
+        REQUIRE(d.until([&] { return d.vms[0]->pending_late_starts() == 2; }));
         CHECK(cancel(d, "n1"));
         REQUIRE(d.until_started(2));
         d.vms[0]->lose_stops(0);
@@ -101,7 +102,7 @@
         d.vms[0]->delay_starts(2, late_start_delay);
         d.vms[0]->lose_stops(many_stops);
         CHECK(d.call("n1", "POST", "/quotes/" + job_a, kind.body).code == 200);
-        REQUIRE(d.until([&] { return d.vms[0]->late_starts() == 2; }));
+        REQUIRE(d.until([&] { return d.vms[0]->pending_late_starts() == 2; }));
         CHECK(cancel(d, "n1"));
         d.kill_node("n1");
         REQUIRE(d.until_started(2));
@@ -170,7 +171,7 @@
             vm.set_silent(false);
         }
         CHECK(d.until([&] { return all_ended(d); }));
-        CHECK(vm.stops_to_lose() == 0);
+        CHECK(vm.remaining_lost_stops() == 0);
         check_stopped(d);
         CHECK(d.reaches_phase("n2", job_a, "cancelled"));
         CHECK(vm.runs().size() == 2);
--- a/tests/node/capacity_test.cpp
+++ b/tests/node/capacity_test.cpp
@@ -11,14 +11,14 @@
 std::size_t max_concurrent_runs(const std::vector<fakes::vm_run>& runs, timestamp from) {
     std::size_t max_runs = 0;
     for (const fakes::vm_run& began : runs) {
-        if (began.run.began < from) {
+        if (began.run.started_at < from) {
             continue;
         }
         max_runs =
             std::max(max_runs, static_cast<std::size_t>(std::ranges::count_if(runs, [&](const auto& item) {
                          const bool ended =
-                             item.run.ended != timestamp(0) && item.run.ended <= began.run.began;
-                         return item.run.began <= began.run.began && !ended;
+                             item.run.ended_at != timestamp(0) && item.run.ended_at <= began.run.started_at;
+                         return item.run.started_at <= began.run.started_at && !ended;
                      })));
     }
     return max_runs;
--- a/tests/node/configuration_test.cpp
+++ b/tests/node/configuration_test.cpp
@@ -20,14 +20,14 @@
     configuration.start();
     REQUIRE(loop_until(loop, [&] { return configuration.is_loaded(); }));
     const std::string range_path(platform::wire::range_path);
-    const std::size_t before = store.calls(range_path);
+    const std::size_t before = store.call_count(range_path);
     for (int answers_of_peers = 0; answers_of_peers < 400; ++answers_of_peers) {
         configuration.record_peer_version(4);
     }
-    REQUIRE(loop_until(loop, [&] { return store.calls(range_path) > before; }));
+    REQUIRE(loop_until(loop, [&] { return store.call_count(range_path) > before; }));
     store.put(key, node_deployment::configuration(4));
     CHECK(loop_until(loop, [&] { return configuration.current().version == 4; }));
-    CHECK(store.calls(range_path) == before + 1);
+    CHECK(store.call_count(range_path) == before + 1);
 }
 
 TEST_CASE("a newer version that only peers know of is read, though the watch brings nothing") {
--- a/tests/node/faulty_task_test.cpp
+++ b/tests/node/faulty_task_test.cpp
@@ -24,7 +24,7 @@
     for (const auto& machine : d.machines) {
         for (const fakes::vm_run& item : machine->runs()) {
             counts.starts += item.run.task == task ? 1 : 0;
-            counts.crashes += item.run.task == task && item.run.how == "crashed" ? 1 : 0;
+            counts.crashes += item.run.task == task && item.run.outcome == "crashed" ? 1 : 0;
         }
     }
     return counts;
--- a/tests/node/inbox_test.cpp
+++ b/tests/node/inbox_test.cpp
@@ -48,9 +48,9 @@
     bool second_done = false;
     const std::size_t before = d.store.count("sp/job/");
     REQUIRE(before == 0);
-    const std::size_t calls = d.store.calls(std::string(platform::wire::commit_path));
+    const std::size_t calls = d.store.call_count(std::string(platform::wire::commit_path));
     send_submit(d, first_id, first, first_done);
-    REQUIRE(d.until([&] { return d.store.calls(std::string(platform::wire::commit_path)) > calls; }));
+    REQUIRE(d.until([&] { return d.store.call_count(std::string(platform::wire::commit_path)) > calls; }));
     send_submit(d, job_id, second, second_done); // Waits behind the first one's write.
     d.store_in_inbox("a", 1);
     REQUIRE(d.until([&] { return inbox_jobs(d) == 1; }));
@@ -79,9 +79,9 @@
     d.store.hold_writes("sp/job/");
     http_answer answer;
     bool done = false;
-    const std::size_t calls = d.store.calls(std::string(platform::wire::commit_path));
+    const std::size_t calls = d.store.call_count(std::string(platform::wire::commit_path));
     send_submit(d, job_id, answer, done);
-    REQUIRE(d.until([&] { return d.store.calls(std::string(platform::wire::commit_path)) > calls; }));
+    REQUIRE(d.until([&] { return d.store.call_count(std::string(platform::wire::commit_path)) > calls; }));
     d.store_in_inbox("a", 1);
     REQUIRE(d.until([&] { return inbox_jobs(d) == 1; }));
     d.store.hold_writes({});
--- a/tests/node/late_write_test.cpp
+++ b/tests/node/late_write_test.cpp
@@ -52,7 +52,7 @@
     d.store.delay_writes(1);
     REQUIRE(d.call("n1", "POST", "/quotes/" + job_a, d.job_body(1)).code == 200);
     REQUIRE(d.reaches_phase("n1", job_a, "completed"));
-    REQUIRE(d.until([&] { return d.store.late_writes() == 0; }));
+    REQUIRE(d.until([&] { return d.store.pending_late_writes() == 0; }));
     CHECK(loop_until(
         d.loop, [&] { return d.store.count("sp/job/p/") == 0; }, wait_timeout));
 }
@@ -66,9 +66,9 @@
     run_warm_up_job(d);
     REQUIRE(d.call("n1", "POST", "/quotes/" + job_a, two_step_body()).code == 200);
     d.store.delay_writes(1); // The next write tells that the first step is done.
-    REQUIRE(d.until([&] { return d.store.late_writes() == 1; }));
+    REQUIRE(d.until([&] { return d.store.pending_late_writes() == 1; }));
     REQUIRE(d.reaches_phase("n1", job_a, "completed"));
-    REQUIRE(d.until([&] { return d.store.late_writes() == 0; }));
+    REQUIRE(d.until([&] { return d.store.pending_late_writes() == 0; }));
     d.kill_node("n1");
     d.start_node("n2");
     CHECK(shows_in_time(d, "n2", job_a, "completed"));
@@ -143,7 +143,7 @@
         done = true;
     });
     REQUIRE(d.until([&] { return d.store.contains("sp/job/p/" + job_a); }));
-    d.store.lapse_leases();
+    d.store.expire_leases();
     REQUIRE(d.until([&] { return claimed; }));
     REQUIRE(d.until([&] { return done; }));
     CHECK(answer.code == 200);
--- a/tests/node/node_deployment.hpp
+++ b/tests/node/node_deployment.hpp
@@ -146,7 +146,7 @@
     bool until(const std::function<bool()>& condition) {
         return loop_until(loop, [&] {
             for (const auto& machine : machines) {
-                machine->tend();
+                machine->remove_expired_registrations();
             }
             return condition();
         });
@@ -234,11 +234,11 @@
             const std::vector<fakes::task_vm::run_record>& runs = item.second;
             for (const auto& a : runs) {
                 for (const auto& b : runs) {
-                    if (&a != &b && a.began <= b.began) {
+                    if (&a != &b && a.started_at <= b.started_at) {
                         INFO(task, " attempts ", a.attempt, " and ", b.attempt);
-                        CHECK(a.ended != timestamp(0));
-                        CHECK(a.ended <= b.began);
-                        CHECK(a.how != "done");
+                        CHECK(a.ended_at != timestamp(0));
+                        CHECK(a.ended_at <= b.started_at);
+                        CHECK(a.outcome != "done");
                     }
                 }
             }
@@ -249,7 +249,7 @@
         std::size_t count = 0;
         for (const auto& vm : vms) {
             for (const auto& run : vm->runs()) {
-                count += run.how == "done" ? 1 : 0;
+                count += run.outcome == "done" ? 1 : 0;
             }
         }
         return count;
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -100,8 +100,9 @@
     CHECK(d.call("n1", "POST", "/quotes/" + job_a, d.job_body(2)).code == 200);
     REQUIRE(d.until_started(2));
     CHECK(d.call("n1", "DELETE", "/quotes/" + job_a).code == 200);
-    CHECK(d.until(
-        [&] { return d.vms[0]->runs()[0].how == "stopped" && d.vms[0]->runs()[1].how == "stopped"; }));
+    CHECK(d.until([&] {
+        return d.vms[0]->runs()[0].outcome == "stopped" && d.vms[0]->runs()[1].outcome == "stopped";
+    }));
     d.kill_node("n1");
     d.start_node("n2");
     d.wait_until_serving("n2");
@@ -127,7 +128,7 @@
     d.serve_with_one_vm(4000ms);
     CHECK(d.call("n1", "POST", "/quotes/" + job_a, d.job_body(3)).code == 200);
     REQUIRE(d.until_started(3));
-    d.store.lapse_leases();
+    d.store.expire_leases();
     CHECK(d.reaches_phase("n1", job_a, "completed"));
     CHECK(d.vms[0]->runs().size() == 3);
     d.check_runs_once();
@@ -175,7 +176,7 @@
             d.loop.post([&] { d.store.put("sp/inbox/p/submit/" + job_a, encode_archive(record)); });
         }
     });
-    d.store.lapse_leases();
+    d.store.expire_leases();
     REQUIRE(d.until([&] { return claimed; }));
     REQUIRE(d.until([&] { return d.store.conflicts() > 0; })); // The inbox is read under the old token.
     d.store.hold_watches({});
@@ -193,10 +194,10 @@
     d.store.delay_writes(1);
     const std::string inbox = "sp/inbox/p/submit/" + job_a;
     d.store.put(inbox, encode_archive(record));
-    REQUIRE(d.until([&] { return d.store.late_writes() == 1; }));
+    REQUIRE(d.until([&] { return d.store.pending_late_writes() == 1; }));
     CHECK(d.store.contains(inbox)); // It is the write that takes the job which is late.
     CHECK(d.reaches_phase("n1", job_a, "completed"));
-    REQUIRE(d.until([&] { return d.store.late_writes() == 0; }));
+    REQUIRE(d.until([&] { return d.store.pending_late_writes() == 0; }));
     CHECK(d.until([&] { return d.store.count("sp/job/p/") == 0; }));
     CHECK(d.done_runs() == 1);
 }
--- a/tests/node/vm_entries_test.cpp
+++ b/tests/node/vm_entries_test.cpp
@@ -20,7 +20,7 @@
 /// A job of one task that runs until it is stopped.
 std::string long_running_job_body() {
     jobs::job_spec spec = one_task_record({}).spec;
-    spec.payload = fakes::task_vm::endless_payload;
+    spec.payload = fakes::task_vm::long_running_payload;
     spec.steps[0].long_running = true;
     return platform::encode_job(spec);
 }
@@ -109,7 +109,7 @@
         CHECK(d.reaches_phase("n1", item.pending_job, "completed"));
         CHECK(d.vms[0]->runs().size() == ++started);
     }
-    CHECK(d.vms[0]->runs()[0].ended == timestamp(0));
+    CHECK(d.vms[0]->runs()[0].ended_at == timestamp(0));
     d.check_runs_once();
 }
 
--- a/tests/node/watch_test.cpp
+++ b/tests/node/watch_test.cpp
@@ -27,7 +27,7 @@
     bool ready = false;
     const timestamp begun = event_loop::now();
     watch.start([&] { ready = true; });
-    const auto listings = [&] { return store.calls("/v1/kv-range"); };
+    const auto listings = [&] { return store.call_count("/v1/kv-range"); };
     REQUIRE(loop_until(loop, [&] { return event_loop::now() - begun > 1200ms; }));
     const std::size_t before = listings();
     REQUIRE(loop_until(loop, [&] { return listings() > before; }));
--- a/tests/soak/ledger_test.cpp
+++ b/tests/soak/invariant_checks_test.cpp
@@ -1,5 +1,5 @@
 #include "soak/fault_plan.hpp"
-#include "soak/ledger.hpp"
+#include "soak/invariant_checks.hpp"
 
 #include <algorithm>
 #include <doctest/doctest.h>
@@ -10,15 +10,15 @@
 namespace {
 
 const timestamp now(100'000);
-constexpr ledger_bounds bounds{.runs_at_once = 2, .after_cancelling = 5s};
+constexpr check_bounds bounds{.max_runs_per_vm = 2, .max_start_after_cancel = 5s};
 
-vm_run run_of(const std::string& task, const std::string& vm, std::int64_t began, std::int64_t ended,
-              const std::string& how = "done", std::int64_t acknowledged = 0) {
-    return {vm, {task, 1, timestamp(began), timestamp(ended), how, timestamp(acknowledged)}};
+vm_run run_of(const std::string& task, const std::string& vm, std::int64_t started_at, std::int64_t ended_at,
+              const std::string& outcome = "done", std::int64_t acknowledged = 0) {
+    return {vm, {task, 1, timestamp(started_at), timestamp(ended_at), outcome, timestamp(acknowledged)}};
 }
 
 /// The jobs by their identifiers: j0, j1 ...
-std::map<std::string, job_history> named(const std::vector<job_history>& jobs) {
+std::map<std::string, job_history> with_ids(const std::vector<job_history>& jobs) {
     std::map<std::string, job_history> result;
     for (const job_history& item : jobs) {
         result["j" + std::to_string(result.size())] = item;
@@ -29,7 +29,7 @@
 } // namespace
 
 TEST_CASE("the soak's checks find what must not happen, and nothing else") {
-    struct ledger_case {
+    struct run_case {
         const char* what = "";
         job_history job;
         std::vector<vm_run> runs;
@@ -40,36 +40,37 @@
     completed.completed = true;
     job_history cancelled = accepted;
     cancelled.cancelled = timestamp(10'000);
-    for (const ledger_case& item : {
-             ledger_case{
-                 "both ran", completed, {run_of("j.0.0.0", "v", 1, 2), run_of("j.0.0.1", "v", 1, 2)}, 0},
-             ledger_case{"one after the other",
-                         accepted,
-                         {run_of("j.0.0.0", "v", 1, 2, "lapsed"), run_of("j.0.0.0", "w", 2, 3)},
-                         0},
-             ledger_case{"again, as its end was never noted",
-                         accepted,
-                         {run_of("j.0.0.0", "v", 1, 2), run_of("j.0.0.0", "w", 3, 4)},
-                         0},
-             ledger_case{
+    for (const run_case& item : {
+             run_case{"both ran", completed, {run_of("j.0.0.0", "v", 1, 2), run_of("j.0.0.1", "v", 1, 2)}, 0},
+             run_case{"one after the other",
+                      accepted,
+                      {run_of("j.0.0.0", "v", 1, 2, "lapsed"), run_of("j.0.0.0", "w", 2, 3)},
+                      0},
+             run_case{"again, as its end was never noted",
+                      accepted,
+                      {run_of("j.0.0.0", "v", 1, 2), run_of("j.0.0.0", "w", 3, 4)},
+                      0},
+             run_case{
                  "two at a time", accepted, {run_of("j.0.0.0", "v", 1, 5), run_of("j.0.0.0", "w", 4, 6)}, 1},
-             ledger_case{"beside one that goes on",
-                         accepted,
-                         {run_of("j.0.0.0", "v", 1, 0, ""), run_of("j.0.0.0", "w", 4, 6)},
-                         1},
-             ledger_case{"again after a noted end",
-                         accepted,
-                         {run_of("j.0.0.0", "v", 1, 2, "done", 3), run_of("j.0.0.0", "w", 4, 5)},
-                         1},
-             ledger_case{"refused, and run", {.tasks = 1}, {run_of("j.0.0.0", "v", 1, 2)}, 1},
-             ledger_case{
-                 "outcome open, and run", {.tasks = 1, .asking = true}, {run_of("j.0.0.0", "v", 1, 2)}, 0},
-             ledger_case{"shown too early", completed, {run_of("j.0.0.0", "v", 1, 2)}, 1},
-             ledger_case{
+             run_case{"beside one that goes on",
+                      accepted,
+                      {run_of("j.0.0.0", "v", 1, 0, ""), run_of("j.0.0.0", "w", 4, 6)},
+                      1},
+             run_case{"again after a noted end",
+                      accepted,
+                      {run_of("j.0.0.0", "v", 1, 2, "done", 3), run_of("j.0.0.0", "w", 4, 5)},
+                      1},
+             run_case{"refused, and run", {.tasks = 1}, {run_of("j.0.0.0", "v", 1, 2)}, 1},
+             run_case{"outcome open, and run",
+                      {.tasks = 1, .submit_in_flight = true},
+                      {run_of("j.0.0.0", "v", 1, 2)},
+                      0},
+             run_case{"shown too early", completed, {run_of("j.0.0.0", "v", 1, 2)}, 1},
+             run_case{
                  "in time before its cancelling", cancelled, {run_of("j.0.0.0", "v", 14'000, 14'100)}, 0},
-             ledger_case{"long after its cancelling", cancelled, {run_of("j.0.0.0", "v", 15'001, 15'100)}, 1},
-             ledger_case{"nobody's", accepted, {run_of("other.0.0.0", "v", 1, 2)}, 1},
-             ledger_case{
+             run_case{"long after its cancelling", cancelled, {run_of("j.0.0.0", "v", 15'001, 15'100)}, 1},
+             run_case{"nobody's", accepted, {run_of("other.0.0.0", "v", 1, 2)}, 1},
+             run_case{
                  "too many at once",
                  accepted,
                  {run_of("j.0.0.0", "v", 1, 9), run_of("j.0.0.1", "v", 2, 9), run_of("j.0.0.2", "v", 3, 9)},
@@ -87,10 +88,10 @@
     jobs["cancelled"] = {.tasks = 1, .accepted = timestamp(1), .cancel_sent = true};
     jobs["completed"] = {.tasks = 1, .accepted = timestamp(1), .completed = true};
     jobs["endless, cancelling not answered"] = {
-        .tasks = 1, .endless = true, .accepted = timestamp(1), .cancel_sent = true};
+        .tasks = 1, .long_running = true, .accepted = timestamp(1), .cancel_sent = true};
     jobs["endless, cancelled"] = {
-        .tasks = 1, .endless = true, .accepted = timestamp(1), .cancelled = timestamp(2)};
-    CHECK(unfinished(jobs) == std::vector<std::string>{"endless, cancelling not answered", "open"});
+        .tasks = 1, .long_running = true, .accepted = timestamp(1), .cancelled = timestamp(2)};
+    CHECK(unfinished_jobs(jobs) == std::vector<std::string>{"endless, cancelling not answered", "open"});
 }
 
 TEST_CASE("a process that shows an older configuration is found, one that shows the next one is not") {
@@ -100,28 +101,35 @@
     struct probe_case {
         const char* what = "";
         configuration_probe probe;
-        bool back = false;
+        bool is_older = false;
     };
     for (const probe_case& item : {
-             probe_case{
-                 "the newest, and there", {.asked = 6, .seen_before = 6, .newest = 6, .there = true}, false},
-             probe_case{
-                 "not in force yet", {.asked = 6, .seen_before = 4, .newest = 6, .missing = true}, false},
-             probe_case{
-                 "seen, and missing", {.asked = 6, .seen_before = 6, .newest = 6, .missing = true}, true},
+             probe_case{"the newest, and there",
+                        {.queried_version = 6, .newest_seen = 6, .newest_published = 6, .is_present = true},
+                        false},
+             probe_case{"not in force yet",
+                        {.queried_version = 6, .newest_seen = 4, .newest_published = 6, .is_missing = true},
+                        false},
+             probe_case{"seen, and missing",
+                        {.queried_version = 6, .newest_seen = 6, .newest_published = 6, .is_missing = true},
+                        true},
              probe_case{"seen, and replaced since it was asked for",
-                        {.asked = 6, .seen_before = 6, .newest = 8, .missing = true},
+                        {.queried_version = 6, .newest_seen = 6, .newest_published = 8, .is_missing = true},
                         false},
-             probe_case{"older, and there", {.asked = 4, .seen_before = 6, .newest = 6, .there = true}, true},
+             probe_case{"older, and there",
+                        {.queried_version = 4, .newest_seen = 6, .newest_published = 6, .is_present = true},
+                        true},
              probe_case{"older, and there, with a newer one",
-                        {.asked = 4, .seen_before = 6, .newest = 8, .there = true},
+                        {.queried_version = 4, .newest_seen = 6, .newest_published = 8, .is_present = true},
                         true},
+             probe_case{"older, and missing",
+                        {.queried_version = 4, .newest_seen = 6, .newest_published = 6, .is_missing = true},
+                        false},
              probe_case{
-                 "older, and missing", {.asked = 4, .seen_before = 6, .newest = 6, .missing = true}, false},
-             probe_case{"tells nothing", {.asked = 6, .seen_before = 6, .newest = 6}, false},
+                 "tells nothing", {.queried_version = 6, .newest_seen = 6, .newest_published = 6}, false},
          }) {
         INFO(std::string(item.what));
-        CHECK(went_back(item.probe) == item.back);
+        CHECK(shows_older_configuration(item.probe) == item.is_older);
     }
 }
 
@@ -130,7 +138,7 @@
                                                   {"open", {.tasks = 1}}};
     const std::vector<vm_run> runs{run_of("gone.0.0.0", "v", 1, 6, "stopped"),
                                    run_of("gone.0.0.0", "w", 2, 0, ""), run_of("open.0.0.0", "v", 1, 0, "")};
-    const std::vector<std::string> left = left_running(jobs, runs);
+    const std::vector<std::string> left = runs_left_after_cancel(jobs, runs);
     REQUIRE(left.size() == 1);
     CHECK(left[0].starts_with("gone.0.0.0#1@w"));
 }
@@ -154,7 +162,7 @@
     struct count_case {
         const char* what = "";
         std::vector<job_history> jobs;
-        std::size_t told = 0;
+        std::size_t reported = 0;
         std::size_t problems = 0;
         std::vector<vm_run> runs;
     };
@@ -177,8 +185,8 @@
              count_case{"ended", {ended}, 0, 0, {run_of("j0.0.0.0", "v", 2000, 3000)}},
          }) {
         INFO(std::string(item.what));
-        const std::vector<told_count> told{{0, sent, answered, item.told}};
-        CHECK(check_counts(named(item.jobs), item.runs, told, bounds).size() == item.problems);
+        const std::vector<reported_count> reported{{0, sent, answered, item.reported}};
+        CHECK(check_counts(with_ids(item.jobs), item.runs, reported, bounds).size() == item.problems);
     }
 }
 
@@ -198,50 +206,50 @@
     cancelled_long_ago.cancelled = timestamp(7999);
     job_history unknown = waiting;
     unknown.accepted = timestamp(0);
-    const told_count none{0, timestamp(10'000), timestamp(10'500), 0};
-    told_count one = none;
+    const reported_count none{0, timestamp(10'000), timestamp(10'500), 0};
+    reported_count one = none;
     one.jobs = 1;
-    told_count three = none;
+    reported_count three = none;
     three.jobs = 3;
-    told_count other_node = none;
+    reported_count other_node = none;
     other_node.node = 1;
-    struct settled_case {
+    struct final_case {
         const char* what = "";
         std::vector<job_history> jobs;
-        std::vector<told_count> told;
+        std::vector<reported_count> reported;
         std::uint32_t nodes = 1;
         std::size_t problems = 0;
         std::vector<vm_run> runs;
     };
-    for (const settled_case& item : {
-             settled_case{"nothing waits, none told", {}, {none}, 1, 0, {}},
-             settled_case{"nothing waits, one told", {}, {one}, 1, 1, {}},
-             settled_case{"one waits, one told", {waiting}, {one}, 1, 0, {}},
-             settled_case{"one waits, none told", {waiting}, {none}, 1, 1, {}},
-             settled_case{"one waits, over twice as many told", {waiting}, {three}, 1, 1, {}},
-             settled_case{"begun within the age of a count",
-                          {waiting},
-                          {one},
-                          1,
-                          0,
-                          {run_of("j0.0.0.0", "v", 8000, 0)}},
-             settled_case{"begun before that", {waiting}, {one}, 1, 1, {run_of("j0.0.0.0", "v", 7999, 0)}},
-             settled_case{"handed in after the answer", {handed_in_later}, {one}, 1, 1, {}},
-             settled_case{"cancelled within the age", {cancelled_lately}, {one}, 1, 0, {}},
-             settled_case{"cancelled before that", {cancelled_long_ago}, {one}, 1, 1, {}},
-             settled_case{"never known as accepted, never run", {unknown}, {one}, 1, 1, {}},
-             settled_case{"never known as accepted, run later",
-                          {unknown},
-                          {one},
-                          1,
-                          0,
-                          {run_of("j0.0.0.0", "v", 12'000, 0)}},
-             settled_case{"each of two tells", {}, {none, other_node}, 2, 0, {}},
-             settled_case{"one of two tells", {}, {none, none}, 2, 1, {}},
-             settled_case{"none of two tells", {}, {}, 2, 2, {}},
+    for (const final_case& item : {
+             final_case{"nothing waits, none told", {}, {none}, 1, 0, {}},
+             final_case{"nothing waits, one told", {}, {one}, 1, 1, {}},
+             final_case{"one waits, one told", {waiting}, {one}, 1, 0, {}},
+             final_case{"one waits, none told", {waiting}, {none}, 1, 1, {}},
+             final_case{"one waits, over twice as many told", {waiting}, {three}, 1, 1, {}},
+             final_case{"begun within the age of a count",
+                        {waiting},
+                        {one},
+                        1,
+                        0,
+                        {run_of("j0.0.0.0", "v", 8000, 0)}},
+             final_case{"begun before that", {waiting}, {one}, 1, 1, {run_of("j0.0.0.0", "v", 7999, 0)}},
+             final_case{"handed in after the answer", {handed_in_later}, {one}, 1, 1, {}},
+             final_case{"cancelled within the age", {cancelled_lately}, {one}, 1, 0, {}},
+             final_case{"cancelled before that", {cancelled_long_ago}, {one}, 1, 1, {}},
+             final_case{"never known as accepted, never run", {unknown}, {one}, 1, 1, {}},
+             final_case{"never known as accepted, run later",
+                        {unknown},
+                        {one},
+                        1,
+                        0,
+                        {run_of("j0.0.0.0", "v", 12'000, 0)}},
+             final_case{"each of two tells", {}, {none, other_node}, 2, 0, {}},
+             final_case{"one of two tells", {}, {none, none}, 2, 1, {}},
+             final_case{"none of two tells", {}, {}, 2, 2, {}},
          }) {
         INFO(std::string(item.what));
-        CHECK(check_settled_counts(named(item.jobs), item.runs, item.told, bounds, item.nodes).size() ==
+        CHECK(check_final_counts(with_ids(item.jobs), item.runs, item.reported, bounds, item.nodes).size() ==
               item.problems);
     }
 }
@@ -252,8 +260,8 @@
     CHECK(plan != make_plan(8, 20s));
     std::size_t overlaps = 0;
     for (std::size_t i = 1; i < plan.size(); ++i) {
-        CHECK(plan[i].at >= plan[i - 1].at);
-        overlaps += plan[i].at < plan[i - 1].at + plan[i - 1].lasts ? 1 : 0;
+        CHECK(plan[i].start_offset >= plan[i - 1].start_offset);
+        overlaps += plan[i].start_offset < plan[i - 1].start_offset + plan[i - 1].duration ? 1 : 0;
     }
     CHECK(overlaps > plan.size() / 4);
 }
@@ -262,25 +270,29 @@
     "what fills the inbox and shrinks VMs comes beside the faults that a seed has always given, and lasts") {
     std::vector<planned_fault> plan = make_plan(7, 20s);
     const auto is_slow = [](const planned_fault& item) { return item.kind == fault_kind::node_slow; };
-    const auto holds = [](const planned_fault& item) { return item.kind == fault_kind::store_holds_jobs; };
-    const auto shrinks = [](const planned_fault& item) { return item.kind == fault_kind::vm_shrinks; };
-    const auto troubles_vm = [&](const planned_fault& item) { return item.kind >= fault_kind::vm_shrinks; };
-    CHECK(std::ranges::count_if(plan, shrinks) == 4);
+    const auto is_job_hold = [](const planned_fault& item) {
+        return item.kind == fault_kind::store_holds_jobs;
+    };
+    const auto is_vm_shrink = [](const planned_fault& item) { return item.kind == fault_kind::vm_shrinks; };
+    const auto is_vm_fault = [&](const planned_fault& item) { return item.kind >= fault_kind::vm_shrinks; };
+    CHECK(std::ranges::count_if(plan, is_vm_shrink) == 4);
     CHECK(std::ranges::count_if(plan, is_slow) == 6);
-    CHECK(std::ranges::count_if(plan, holds) == 2);
+    CHECK(std::ranges::count_if(plan, is_job_hold) == 2);
     for (const planned_fault& item : plan) {
-        CHECK((!is_slow(item) || item.lasts >= 6s));
-        CHECK((!holds(item) || item.lasts >= 8s));
-        CHECK((!shrinks(item) || item.lasts >= 5s));
+        CHECK((!is_slow(item) || item.duration >= 6s));
+        CHECK((!is_job_hold(item) || item.duration >= 8s));
+        CHECK((!is_vm_shrink(item) || item.duration >= 5s));
     }
     std::erase_if(plan, is_slow);
-    std::erase_if(plan, holds);
-    std::erase_if(plan, troubles_vm);
+    std::erase_if(plan, is_job_hold);
+    std::erase_if(plan, is_vm_fault);
     REQUIRE(plan.size() == 31);
     CHECK(plan.front() ==
-          planned_fault{.at = 15ms, .lasts = 4028ms, .kind = fault_kind::node_pause, .target = 57053});
+          planned_fault{
+              .start_offset = 15ms, .duration = 4028ms, .kind = fault_kind::node_pause, .target = 57053});
     CHECK(plan.back() ==
-          planned_fault{.at = 19440ms, .lasts = 852ms, .kind = fault_kind::node_kill, .target = 54805});
+          planned_fault{
+              .start_offset = 19440ms, .duration = 852ms, .kind = fault_kind::node_kill, .target = 54805});
 }
 
 // Guards against a check of the VMs' room that goes by the capacity of long ago, or forgets what is being
@@ -322,8 +334,8 @@
 TEST_CASE("the soak finds tasks that are started again and again after VMs have crashed under them") {
     struct row {
         const char* what = "";
-        std::size_t crashes = 0;      ///< Runs that end so, one after the other.
-        std::size_t out_of_touch = 0; ///< So many of the last.
+        std::size_t crashes = 0;         ///< Runs that end so, one after the other.
+        std::size_t without_contact = 0; ///< So many of the last.
         bool faulty = true;
         std::size_t problems = 0;
     };
@@ -334,11 +346,15 @@
         INFO(std::string(item.what));
         std::vector<vm_run> runs;
         for (std::size_t i = 0; i < item.crashes; ++i) {
-            const auto began = static_cast<std::int64_t>(1000 * (i + 1));
-            runs.push_back(run_of("j0.0.0.0", "v" + std::to_string(i), began, began + 10, "crashed"));
+            const auto started_at = static_cast<std::int64_t>(1000 * (i + 1));
+            runs.push_back(
+                run_of("j0.0.0.0", "v" + std::to_string(i), started_at, started_at + 10, "crashed"));
         }
-        const auto last_in_touch = static_cast<std::int64_t>(1000 * (item.crashes - item.out_of_touch));
-        const auto in_touch = [&](const vm_run& run) { return run.run.began <= timestamp(last_in_touch); };
-        CHECK(check_crashes(named({{.faulty = item.faulty}}), runs, in_touch).size() == item.problems);
+        const auto last_with_contact =
+            static_cast<std::int64_t>(1000 * (item.crashes - item.without_contact));
+        const auto had_contact = [&](const vm_run& run) {
+            return run.run.started_at <= timestamp(last_with_contact);
+        };
+        CHECK(check_crashes(with_ids({{.faulty = item.faulty}}), runs, had_contact).size() == item.problems);
     }
 }
