--- a/core/bounded_archive.hpp
+++ b/core/bounded_archive.hpp
@@ -14,26 +14,26 @@
 
 namespace siskinpaddle {
 
-/// Why binary input was refused; travels with a LEAF error.
+/// Why binary input was rejected; reported as a LEAF error.
 struct decode_error {
     std::string message;
 };
 
-/// Largest binary input that is decoded at all.
+/// Maximum size in bytes of binary input that is decoded.
 inline constexpr std::size_t max_archive_bytes = 4U << 20U;
 
-/// Cereal archive whose container sizes are checked against the bytes that are left. Cereal takes sizes from
-/// the input: without the check eight hostile bytes make a vector resize itself to exabytes.
+/// Cereal archive that checks container sizes against the remaining bytes. Cereal reads these sizes from the
+/// input: without the check, eight hostile bytes make a vector resize itself to exabytes.
 class bounded_input_archive
     : public cereal::InputArchive<bounded_input_archive, cereal::AllowEmptyClassElision> {
   public:
     explicit bounded_input_archive(std::string_view bytes)
         : cereal::InputArchive<bounded_input_archive, cereal::AllowEmptyClassElision>(this), m_bytes(bytes) {}
 
-    /// Copies `size` bytes out. Throws cereal::Exception at the end of the input.
+    /// Copies `size` bytes to `out`. Throws cereal::Exception when the input ends before that.
     void read_bytes(void* out, std::size_t size) {
         if (size > m_bytes.size()) {
-            throw cereal::Exception("input ends early");
+            throw cereal::Exception("unexpected end of input");
         }
         std::copy_n(m_bytes.data(), size, static_cast<char*>(out));
         m_bytes.remove_prefix(size);
@@ -45,7 +45,8 @@
     std::string_view m_bytes;
 };
 
-/// Writes what `bounded_input_archive` reads. All our processes run on machines of one byte order.
+/// Writes the format that `bounded_input_archive` reads. Numbers are stored in native byte order, since all
+/// processes run on machines with the same byte order.
 class bounded_output_archive
     : public cereal::OutputArchive<bounded_output_archive, cereal::AllowEmptyClassElision> {
   public:
@@ -98,7 +99,7 @@
     std::uint64_t size = 0;
     archive(size);
     if (size > archive.remaining_bytes()) {
-        throw cereal::Exception("a size exceeds the input");
+        throw cereal::Exception("container size exceeds the remaining input");
     }
     tag.size = static_cast<cereal::size_type>(size);
 }
@@ -114,7 +115,7 @@
                        static_cast<std::size_t>(data.size));
 }
 
-/// Binary form of `value`.
+/// Returns the binary form of `value`.
 template <typename T>
 [[nodiscard]] std::string encode_archive(const T& value) {
     std::string bytes;
@@ -123,12 +124,12 @@
     return bytes;
 }
 
-/// Reads what `encode_archive` wrote. Fails with `decode_error` on damaged, oversized or trailing input.
-/// Never throws; allocates at most one element for each byte of the input.
+/// Decodes the output of `encode_archive`. Fails with `decode_error` on damaged, oversized or trailing input.
+/// Never throws; allocates at most one element per byte of the input.
 template <typename T>
 [[nodiscard]] boost::leaf::result<T> decode_archive(std::string_view bytes) {
     if (bytes.size() > max_archive_bytes) {
-        return boost::leaf::new_error(decode_error{"input is too large"});
+        return boost::leaf::new_error(decode_error{"input exceeds the size limit"});
     }
     try {
         T value;
--- a/core/core.hpp
+++ b/core/core.hpp
@@ -1,8 +1,9 @@
 #pragma once
 
-/// Public header of the core library: identifiers, clock readings, findings, name tables, hashing and
-/// checked JSON reading. Nothing here does I/O. Unless a type says otherwise its objects may be used from
-/// one thread at a time, and const access from several threads is safe.
+/// Public header of the core library: binary archives, clock types, findings, name tables, hashing, random
+/// numbers and validated JSON reading. Only parse_json_file() and load_settings() do I/O. Unless a type
+/// states otherwise, its objects may be used by one thread at a time, and const access from several threads
+/// is safe.
 
 #include "core/bounded_archive.hpp"
 #include "core/clock.hpp"
--- a/core/enum_names.hpp
+++ b/core/enum_names.hpp
@@ -7,9 +7,8 @@
 
 namespace siskinpaddle {
 
-/// Name table of an `enum class`, specialised next to each enum as
-/// `inline constexpr std::array enum_names<E>{std::pair{E::a, "a"}, ...}`. Immutable, so safe from any
-/// thread.
+/// Name table of an `enum class`. Each enum specialises it next to its declaration as
+/// `inline constexpr std::array enum_names<E>{std::pair{E::a, "a"}, ...}`. Immutable, therefore thread-safe.
 template <typename Enum>
 inline constexpr std::array<std::pair<Enum, std::string_view>, 0> enum_names{};
 
@@ -24,7 +23,7 @@
     return "?";
 }
 
-/// Returns the value called `name`, or nothing when the table has no such name.
+/// Returns the value with this name, or nothing when the table doesn't contain the name.
 template <typename Enum>
 constexpr std::optional<Enum> value_named(std::string_view name) noexcept {
     for (const auto& [candidate, known] : enum_names<Enum>) {
--- a/core/findings.hpp
+++ b/core/findings.hpp
@@ -5,7 +5,7 @@
 
 namespace siskinpaddle {
 
-/// One thing wrong with an input, with the place a person has to look at.
+/// One problem in an input and its location.
 struct finding {
     std::string location; ///< File and JSON path, e.g. "entry.json:/platform/port".
     std::string message;
@@ -13,13 +13,13 @@
     bool operator==(const finding&) const = default;
 };
 
-/// Collects everything wrong with an input so that a person can mend it in one go. Not thread-safe.
+/// Collects all problems in an input so that a user can fix them in one pass. Not thread-safe.
 class findings {
   public:
-    /// Records a finding. `place` may be empty when the whole input is meant.
+    /// Records a finding. `location` may be empty when the finding concerns the whole input.
     void add(std::string location, std::string message);
 
-    /// Takes over all findings of `other`, each place prefixed with `prefix`.
+    /// Appends all findings of `other`, with `prefix` before each location.
     void append(const findings& other, const std::string& prefix = {});
 
     [[nodiscard]] bool empty() const noexcept { return m_items.empty(); }
--- a/core/random.hpp
+++ b/core/random.hpp
@@ -4,8 +4,8 @@
 
 namespace siskinpaddle {
 
-/// Seeded generator (splitmix64) whose sequence is the same on every platform, so that recorded sessions
-/// replay to the byte. Not for secrets. Not thread-safe.
+/// Seeded generator (splitmix64) with the same sequence on every platform, so that recorded sessions replay
+/// byte for byte. Not for cryptographic use. Not thread-safe.
 class random_source {
   public:
     explicit random_source(std::uint64_t seed) noexcept : m_state(seed) {}
@@ -18,10 +18,10 @@
         return z ^ (z >> 31U);
     }
 
-    /// Uniform in [0, bound). Precondition: bound > 0.
+    /// Returns a number uniform in [0, bound). Precondition: bound > 0.
     std::uint64_t next_below(std::uint64_t bound) noexcept { return next() % bound; }
 
-    /// Uniform in [0, 1).
+    /// Returns a number uniform in [0, 1).
     double next_double() noexcept { return static_cast<double>(next() >> 11U) * 0x1.0p-53; }
 
   private:
--- a/core/settings_file.hpp
+++ b/core/settings_file.hpp
@@ -10,8 +10,8 @@
 /// Exit codes of the server programs.
 enum exit_code : int { exit_success = 0, exit_failure = 1, exit_invalid_settings = 2 };
 
-/// Reads a program's settings with `parse(value, findings)`. Writes every finding with the file's name and
-/// its place to `errors`; then there are no settings.
+/// Reads a program's settings with `parse(value, findings)`. If there are findings, writes each to `errors`
+/// with the file name and the location, and returns nothing.
 template <class Parse>
 [[nodiscard]] auto load_settings(const std::string& path, const Parse& parse, std::ostream& errors)
     -> std::optional<decltype(parse(boost::json::value(), std::declval<findings&>()))> {
--- a/net/event_loop.cpp
+++ b/net/event_loop.cpp
@@ -38,12 +38,13 @@
 
 event_loop::event_loop() : m_base(event_base_new()), m_posted_event(nullptr) {
     if (m_base == nullptr) {
-        throw std::runtime_error("no event loop could be made");
+        throw std::runtime_error("failed to create the event loop");
     }
     m_posted_event = event_new(
         m_base, -1, 0,
         [](evutil_socket_t, short, void* self) { static_cast<event_loop*>(self)->run_posted(); }, this);
-    // A peer that closes while we write must show as an error at the write, not end the process.
+    // Makes a write to a connection that the peer has closed fail with an error instead of terminating the
+    // process.
     std::signal(SIGPIPE, SIG_IGN);
 }
 
--- a/net/event_loop.hpp
+++ b/net/event_loop.hpp
@@ -13,7 +13,7 @@
 
 namespace siskinpaddle {
 
-/// A repeating or single timer on an event loop; destroying it cancels it.
+/// A one-shot timer on an event loop that can be started again. Its destruction cancels it.
 class timer {
   public:
     timer(event_base* base, std::function<void()> action);
@@ -21,7 +21,7 @@
     timer(const timer&) = delete;
     timer& operator=(const timer&) = delete;
 
-    /// Fires once after `delay`; an earlier setting is replaced.
+    /// Fires once after `delay`; replaces a pending start.
     void start(milliseconds delay);
     void cancel();
 
@@ -30,7 +30,7 @@
     event* m_event;
 };
 
-/// One libevent loop: time, timers, posted calls and signals.
+/// One libevent loop: clock, timers, posted callbacks and signal handlers.
 class event_loop {
   public:
     event_loop();
@@ -38,16 +38,16 @@
     event_loop(const event_loop&) = delete;
     event_loop& operator=(const event_loop&) = delete;
 
-    /// Runs until stop(). Not re-entrant.
+    /// Runs until stop() is called. Not re-entrant.
     void run();
     void stop();
 
-    /// Calls `action` from the loop, after the present callback has returned.
+    /// Calls `action` from the loop, after the current callback has returned.
     void post(std::function<void()> action);
 
     [[nodiscard]] std::unique_ptr<timer> make_timer(std::function<void()> action);
 
-    /// Calls `action` for each arrival of the signal.
+    /// Calls `action` each time the signal arrives.
     void on_signal(int signal_number, std::function<void()> action);
 
     /// Monotonic time that also advances while the machine or this process is suspended.
--- a/net/http_client.cpp
+++ b/net/http_client.cpp
@@ -37,12 +37,14 @@
     return EVHTTP_REQ_GET;
 }
 
-/// Of one request in one turn of the loop. With libevent's 16 KB a transaction of 170 KB does not leave a
-/// busy node (200 ms a turn) within its timeout of 1.5 s, nor when it is repeated.
+/// Bytes that one request may write in one iteration of the event loop. With libevent's 16 KB, a transaction
+/// of 170 KB can't be sent within its timeout of 1.5 s by a busy node, whose iterations take 200 ms, and a
+/// retry of it can't either.
 constexpr std::size_t max_single_write = 256UL * 1024;
 
-/// Whether the end of the answer is marked by the answer itself. One that ends by the connection's close
-/// looks the same whole or cut, and evhttp reports both as whole, so it can't be taken for whole.
+/// Whether the answer itself marks its end. An answer that is delimited by the close of the connection looks
+/// the same when it is truncated, and evhttp reports both as complete, so such an answer isn't treated as
+/// complete.
 bool has_explicit_end(const http_answer& answer, evhttp_cmd_type command) {
     const bool has_no_body =
         command == EVHTTP_REQ_HEAD || answer.code == HTTP_NOCONTENT || answer.code == HTTP_NOTMODIFIED;
@@ -54,11 +56,11 @@
 
 struct http_client::connection {
     endpoint to;
-    exchange* active_exchange = nullptr; ///< The exchange that it serves now.
+    exchange* active_exchange = nullptr; ///< The exchange in progress on this connection, if any.
     evhttp_connection* handle = nullptr;
-    bool has_written = false; ///< Bytes of the present request were handed to the socket.
+    bool has_written = false; ///< Bytes of the current request were passed to the socket.
     bool resets_on_close = false;
-    int socket_error = 0; ///< The error that ended the connecting, if any.
+    int socket_error = 0; ///< The error with which connecting failed, if any.
     timestamp idle_since{0};
     http_client* owner = nullptr;
 
@@ -74,8 +76,8 @@
         }
     }
 
-    /// evhttp puts a request into the output buffer only once the connection stands, so an untouched buffer
-    /// proves that no byte can have reached the other side.
+    /// evhttp adds a request to the output buffer only after the connection is established, so if nothing was
+    /// added, no byte of the request can have reached the server.
     static void on_output(evbuffer*, const evbuffer_cb_info* info, void* self) {
         auto* item = static_cast<connection*>(self);
         if (!item->resets_on_close && info->n_added > 0) {
@@ -87,10 +89,10 @@
 
     static void on_input(evbuffer* input, const evbuffer_cb_info* info, void* self);
 
-    /// However the connection ends, also with the process, what the kernel still holds of it is dropped.
-    /// Answers requests that are held up by a partition: closed in order, the connection would deliver them
-    /// when the partition heals, long after they were given up and what they asked for was done otherwise:
-    /// an order about a machine would be carried out after one of the next owner's.
+    /// Sets the socket to discard unsent data when the connection closes for any reason, including the end of
+    /// the process. After an orderly close the kernel would deliver requests held up by a network partition
+    /// once the partition heals, long after the caller has stopped waiting for them and acted otherwise: an
+    /// order about a machine would be carried out after an order of the machine's next owner.
     void reset_on_close() {
         const linger drop_unsent{1, 0};
         const int socket = bufferevent_getfd(evhttp_connection_get_bufferevent(handle));
@@ -133,8 +135,9 @@
         return std::move(m_connection);
     }
 
-    /// A part of the answer has come. Over a narrow link a large answer takes longer than a silent peer may:
-    /// given up half read and asked for again, it would never arrive.
+    /// Extends the deadline when a part of the answer arrives. Over a slow link, a large answer takes longer
+    /// than the timeout that detects an unresponsive peer; aborted half read and requested again, the answer
+    /// would never arrive.
     void extend_deadline() {
         if (m_completed || m_call.max_duration <= m_call.timeout) {
             return;
@@ -252,7 +255,7 @@
 }
 
 void http_client::cancel(std::uint64_t call_id) {
-    // Freeing the connection drops its request without a callback.
+    // Destroying the exchange frees its connection, which drops the request without a callback.
     m_exchanges.erase(call_id);
 }
 
@@ -290,8 +293,8 @@
     if (found == m_exchanges.end()) {
         return;
     }
-    // evhttp is still inside the connection's callback here, so the connection may only be freed or reused
-    // later.
+    // evhttp is still executing a callback of the connection here, so the connection is freed or reused
+    // later, from a posted callback.
     m_loop.post(
         [this, alive = m_lifetime.weak_token(), call_id, reusable, answer = std::move(answer)]() mutable {
             if (alive.expired()) {
--- a/net/http_client.hpp
+++ b/net/http_client.hpp
@@ -13,12 +13,12 @@
 
 /// How an HTTP exchange ended.
 enum class exchange_status : std::uint8_t {
-    answered,       ///< A whole answer is there.
+    answered,       ///< A complete answer was received.
     connect_failed, ///< No byte of the request left this process.
-    reset,          ///< The connection ended after bytes may have been sent, before a whole answer.
-    timed_out,      ///< The time ran out after bytes may have been sent.
-    incomplete,     ///< An answer began, but its end can't be told from a broken connection.
-    too_large       ///< The answer exceeds the client's bound.
+    reset,          ///< The connection ended after bytes may have been sent, before a complete answer.
+    timed_out,      ///< The timeout expired after bytes may have been sent.
+    incomplete,     ///< An answer came whose end can't be distinguished from a broken connection.
+    too_large       ///< The answer exceeds the client's size limit.
 };
 
 template <>
@@ -37,23 +37,24 @@
     http_headers headers;
     std::string body;
     milliseconds timeout{1000};
-    /// An answer that goes on arriving may take this long in all; `timeout` then bounds its pauses. Zero: the
-    /// whole exchange ends within `timeout`.
+    /// Limit of the whole exchange while parts of the answer keep arriving; `timeout` then limits the pauses
+    /// between the parts. Zero: the whole exchange has to end within `timeout`.
     milliseconds max_duration{0};
-    /// Use a new connection. A kept one may be closed by the other side just as the request is sent, which
-    /// leaves open whether it ran; a request that must not run twice can't be sent again then.
+    /// Opens a new connection. The server may close a kept-alive connection just as the request is sent,
+    /// which leaves it unknown whether the request was executed; a request that must not be executed twice
+    /// can't be retried then.
     bool fresh_connection = false;
 };
 
 struct http_answer {
     exchange_status status = exchange_status::connect_failed;
-    bool refused = false; ///< With `connect_failed`: the port itself refused, nobody listens there.
+    bool refused = false; ///< With `connect_failed`: the port refused; no process listens there.
     int code = 0;
     http_headers headers;
     std::string body;
 };
 
-/// Limits of an HTTP client.
+/// Limits of an HTTP client; sizes in bytes.
 struct http_client_limits {
     std::size_t max_body = 1U << 20U;
     std::size_t max_headers = 32U << 10U;
@@ -61,8 +62,8 @@
     milliseconds max_idle_time = 2s;
 };
 
-/// Sends HTTP requests, each on its own connection while it lasts, and keeps some connections for reuse.
-/// Never sends a request twice by itself.
+/// Sends HTTP requests, each on a connection that no other request uses meanwhile, and keeps some idle
+/// connections for reuse. Never retries a request.
 class http_client {
   public:
     http_client(event_loop& loop, http_client_limits limits = {});
@@ -72,11 +73,11 @@
 
     using callback = std::function<void(http_answer)>;
 
-    /// Starts the exchange; `done` is called exactly once from the loop, unless the client is destroyed
-    /// first. Returns a number for cancel().
+    /// Starts the exchange. `done` is called exactly once from the loop, unless the exchange is cancelled or
+    /// the client is destroyed first. Returns the call id for cancel().
     std::uint64_t send(http_call call, callback done);
 
-    /// Ends an exchange without calling back. An ended or unknown number is ignored.
+    /// Ends an exchange without calling its callback. Ignores the id of an ended or unknown exchange.
     void cancel(std::uint64_t call_id);
 
     [[nodiscard]] std::uint64_t bytes_sent() const noexcept { return m_bytes_sent; }
--- a/net/http_server.cpp
+++ b/net/http_server.cpp
@@ -48,12 +48,13 @@
 
 } // namespace
 
-/// Counts the listener's connections and ends those that send too slowly. evhttp's own time-out starts anew
-/// with each byte, so a client that sends one byte now and then would hold a connection for ever.
+/// Counts the listener's connections and closes those that send a request too slowly. evhttp's own timeout
+/// restarts with each byte, so a client that sends single bytes at intervals could hold a connection open
+/// indefinitely.
 ///
-/// evhttp doesn't tell when it frees a connection that never sent a whole request. A record therefore keeps
-/// the socket's descriptor and inode and never follows its pointers later: a descriptor that was reused shows
-/// another inode.
+/// evhttp doesn't report when it frees a connection that never sent a complete request. A record therefore
+/// stores the socket's descriptor and inode and doesn't dereference its pointers later: a descriptor that was
+/// reused has another inode.
 class http_server::connection_tracker {
   public:
     explicit connection_tracker(http_server& server)
@@ -71,7 +72,8 @@
         return socket;
     }
 
-    /// A whole request has arrived: the connection may take its time until it begins the next one.
+    /// Records that a complete request has arrived. The receive timeout then doesn't apply until the next
+    /// request begins.
     void mark_request_received(evhttp_connection* connection) {
         evbuffer* input = bufferevent_get_input(evhttp_connection_get_bufferevent(connection));
         m_connections[input].receiving_since = timestamp{0};
@@ -81,7 +83,7 @@
 
   private:
     struct connection_record {
-        bufferevent* socket = nullptr; ///< Only valid inside a callback of its own buffer.
+        bufferevent* socket = nullptr; ///< Valid only inside a callback of the record's buffer.
         int descriptor = -1;
         ino_t inode = 0;
         timestamp receiving_since{0};
@@ -122,7 +124,7 @@
             if (item.receiving_since != timestamp{0} &&
                 now - item.receiving_since > m_server.m_limits.receive_timeout) {
                 item.receiving_since = timestamp{0};
-                shutdown(item.descriptor, SHUT_RDWR); // evhttp frees it once the socket reports its end.
+                shutdown(item.descriptor, SHUT_RDWR); // evhttp frees the connection on end of file.
             }
         }
         update_accepting();
@@ -172,7 +174,7 @@
 
 void server_request::reply(int code, const http_headers& headers, std::string_view body) {
     if (m_server_token.expired()) {
-        return; // Its connection went with the server.
+        return; // The server has closed the connection in its destructor.
     }
     evkeyvalq* fields = evhttp_request_get_output_headers(m_handle);
     for (const auto& [name, value] : headers.fields()) {
--- a/net/http_server.hpp
+++ b/net/http_server.hpp
@@ -15,8 +15,8 @@
 
 namespace siskinpaddle {
 
-/// One request that a server received. Answer it exactly once with reply(); dropping it unanswered replies
-/// 500.
+/// One request that a server has received. Call reply() exactly once; the destruction of an unanswered
+/// request replies with status 500.
 class server_request {
   public:
     server_request(class http_server& server, evhttp_request* handle);
@@ -25,13 +25,13 @@
     server_request& operator=(const server_request&) = delete;
 
     [[nodiscard]] const std::string& method() const noexcept { return m_method; }
-    /// Path and query as they came.
+    /// Path and query as received.
     [[nodiscard]] const std::string& target() const noexcept { return m_target; }
     [[nodiscard]] const http_headers& headers() const noexcept { return m_headers; }
     [[nodiscard]] const std::string& body() const noexcept { return m_body; }
     [[nodiscard]] const std::string& peer() const noexcept { return m_peer; }
 
-    /// Precondition: not replied before.
+    /// Precondition: reply() hasn't been called before.
     void reply(int code, const http_headers& headers, std::string_view body);
 
   private:
@@ -45,16 +45,16 @@
     std::string m_body;
 };
 
-/// Limits of a listener; each guards against one kind of hostile or broken client.
+/// Limits of a listener, sizes in bytes; each guards against one kind of hostile or broken client.
 struct http_server_limits {
     std::size_t max_body = 1U << 20U;
     std::size_t max_headers = 32U << 10U;
     std::size_t max_connections = 4096;
-    milliseconds idle_timeout = 60s;    ///< Closes half-open and silent connections.
+    milliseconds idle_timeout = 60s;    ///< Closes half-open and idle connections.
     milliseconds receive_timeout = 10s; ///< Closes a connection that takes longer to send one request.
 };
 
-/// Listens for HTTP requests.
+/// Listens for HTTP requests and passes each to a handler.
 class http_server {
   public:
     using handler = std::function<void(std::shared_ptr<server_request>)>;
@@ -64,17 +64,18 @@
     http_server(const http_server&) = delete;
     http_server& operator=(const http_server&) = delete;
 
-    /// Binds and accepts. Returns false when the address can't be bound.
+    /// Binds the address and accepts connections. Returns false when the address can't be bound.
     [[nodiscard]] bool listen(const endpoint& local_endpoint);
 
-    /// Port that was bound, for a listener on port 0.
+    /// Returns the bound port, also of a listener on port 0.
     [[nodiscard]] std::uint16_t port() const;
 
-    /// Stops accepting and asks each client, with its next answer, to close its connection.
+    /// Stops accepting connections and asks each client, with its next answer, to close its connection.
     void drain();
 
-    /// Goes on accepting, but asks each client, with its next answer, to close its connection, while `on`: a
-    /// process that will stop soon, or can't serve, sheds its connections while it is still sent new ones.
+    /// While `enabled`, continues to accept connections but asks each client, with its next answer, to close
+    /// its connection. A process that will stop soon, or that can't serve, sheds its connections in this way
+    /// while clients still send it new ones.
     void set_connection_shedding(bool enabled) { m_shedding = enabled; }
 
     [[nodiscard]] std::size_t requests_in_progress() const noexcept { return m_requests_in_progress; }
--- a/net/lifetime.hpp
+++ b/net/lifetime.hpp
@@ -4,10 +4,10 @@
 
 namespace siskinpaddle {
 
-/// Lets a posted call find out whether its object still exists when its turn comes. Not thread-safe.
+/// Lets a posted callback check whether its object still exists when the callback runs. Not thread-safe.
 class lifetime {
   public:
-    /// Expires when the owner is destroyed.
+    /// Returns a token that expires when the owner of this object is destroyed.
     [[nodiscard]] std::weak_ptr<void> weak_token() const { return m_token; }
 
   private:
--- a/net/net.hpp
+++ b/net/net.hpp
@@ -1,9 +1,8 @@
 #pragma once
 
-/// Public header of the net library: the event loop and the sockets that tasks own, over libevent. An event
-/// loop and everything made on it belong to the thread that runs the loop; nothing here is thread-safe.
-/// Callbacks come from the loop, never from inside the call that asked for them, so a task is never
-/// re-entered.
+/// Public header of the net library: the event loop and sockets over libevent. An event loop and everything
+/// created on it belong to the thread that runs the loop; nothing here is thread-safe. Callbacks are called
+/// from the loop, never from within the call that requested them, so a task is never re-entered.
 
 #include "net/event_loop.hpp"
 #include "net/http_client.hpp"
--- a/net/read_available.cpp
+++ b/net/read_available.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-/// What libevent reads of a connection at once, whatever lies there (EVBUFFER_MAX_READ).
+/// Bytes that libevent reads from a connection at a time, even if more are available (EVBUFFER_MAX_READ).
 constexpr std::size_t libevent_read_size = 4096;
-/// Reads of one connection in one turn of the loop.
+/// Maximum number of reads from one connection in one iteration of the event loop.
 constexpr int max_reads = 64;
 
 } // namespace
 
 void read_available(evbuffer* input, evutil_socket_t socket, std::size_t added_bytes) {
-    thread_local bool reading = false; // Each read here calls back once more.
+    thread_local bool reading = false; // Each read below calls the callback again.
     if (reading || added_bytes < libevent_read_size) {
         return;
     }
--- a/net/read_available.hpp
+++ b/net/read_available.hpp
@@ -7,14 +7,15 @@
 
 namespace siskinpaddle {
 
-/// Reads on what `socket` holds, in the same turn of the loop, after `added` bytes have come into `input`;
-/// 256 KB at most, so that other connections have their turn. Does nothing after a short read. To be called
-/// from a callback of `input` only, on the loop's thread. Errors and ends of the socket show again at
-/// libevent's own next read.
+/// Reads the bytes that `socket` still holds, in the same iteration of the event loop, after `added_bytes`
+/// bytes were added to `input`. Reads 256 KB at most, so that other connections are served too. Does nothing
+/// after a short read. Call only from a callback of `input`, on the loop's thread. Errors and the end of the
+/// stream are reported again by libevent's own next read.
 ///
-/// libevent reads 4 KB of a connection in one turn. On a busy node (75 to 200 ms a turn) a body of 100 KB
-/// took longer than its call may: it was given up half read and asked for again, larger each time, and a copy
-/// of the store's items stayed old for as long as the load lasted.
+/// libevent reads 4 KB from a connection per iteration. On a busy node, whose iterations take 75 to 200 ms, a
+/// body of 100 KB then takes longer than the timeout of its call: the call is aborted half read and repeated,
+/// with a larger body each time, and the copy of the store's items stays outdated for as long as the load
+/// lasts.
 void read_available(evbuffer* input, evutil_socket_t socket, std::size_t added_bytes);
 
 } // namespace siskinpaddle
--- a/net/stream.hpp
+++ b/net/stream.hpp
@@ -14,14 +14,15 @@
 
 namespace siskinpaddle {
 
-/// Largest frame on a stream.
+/// Maximum size of a frame in bytes.
 inline constexpr std::size_t max_frame_bytes = 4U << 20U;
 
-/// How a stream exchange ended.
+/// Result of a frame exchange.
 enum class stream_status : std::uint8_t { answered, refused, failed };
 
-/// Answers one frame with one frame, then closes; frames carry their length in four bytes. Bounded in
-/// connections, size and time.
+/// Answers one frame with one frame, then closes the connection; each frame is preceded by its length in four
+/// bytes. An empty answer only closes the connection. The number of connections, the size of frames and the
+/// pauses in a session are limited.
 class frame_server {
   public:
     using handler = std::function<std::string(std::string_view frame)>;
@@ -50,7 +51,7 @@
     std::uint64_t m_bytes_sent = 0;
 };
 
-/// Sends one frame to a frame_server and takes its answer. `refused` means that the port refused the
+/// Sends one frame to a frame_server and receives its answer. `refused` means that the port refused the
 /// connection: no process listens there.
 class frame_client {
   public:
@@ -61,8 +62,8 @@
     frame_client(const frame_client&) = delete;
     frame_client& operator=(const frame_client&) = delete;
 
-    /// `done` is called once from the loop. Destroy the client only when the loop has stopped. An empty
-    /// `frame` only connects.
+    /// Calls `done` once from the loop. Destroy the client only when the loop has stopped. With an empty
+    /// `frame`, the client only connects, and reports `answered` when connected.
     void send(const endpoint& to, std::string frame, milliseconds timeout, callback done);
 
   private:
--- a/net/udp_socket.cpp
+++ b/net/udp_socket.cpp
@@ -63,7 +63,7 @@
 }
 
 void udp_socket::read() {
-    constexpr int max_datagrams = 64; // Leaves the loop to the other sockets under a flood.
+    constexpr int max_datagrams = 64; // Lets the loop serve other sockets during a flood of datagrams.
     static thread_local std::vector<char> buffer(max_datagram_bytes + 1);
     for (int i = 0; i < max_datagrams; ++i) {
         sockaddr_in from{};
--- a/net/udp_socket.hpp
+++ b/net/udp_socket.hpp
@@ -8,7 +8,7 @@
 
 namespace siskinpaddle {
 
-/// A bound UDP socket.
+/// Sends and receives datagrams on a bound UDP socket.
 class udp_socket {
   public:
     using handler = std::function<void(std::string_view datagram, const endpoint& from)>;
@@ -21,12 +21,12 @@
     /// Returns false when the address can't be bound.
     [[nodiscard]] bool bind(const endpoint& local_endpoint);
 
-    /// Sends or drops; UDP promises no more.
+    /// Sends the datagram, or drops it when it is too large or can't be sent. UDP doesn't guarantee delivery.
     void send(std::string_view datagram, const endpoint& to);
 
     [[nodiscard]] std::uint64_t bytes_sent() const noexcept { return m_bytes_sent; }
 
-    /// Largest datagram that is sent or received.
+    /// Size in bytes of the largest datagram that is sent or received.
     static constexpr std::size_t max_datagram_bytes = 60'000;
 
   private:
--- a/telemetry/event_catalogue.hpp
+++ b/telemetry/event_catalogue.hpp
@@ -17,8 +17,9 @@
     std::pair{event_level::warning, std::string_view("warning")},
     std::pair{event_level::error, std::string_view("error")}};
 
-/// Every event that the system logs. The number is the event's identity for operators and never changes its
-/// meaning; docs/EVENTS.md says for each what it means and what to do, and a test holds the two together.
+/// Every event that the system logs. The number identifies the event to operators and never changes its
+/// meaning; docs/EVENTS.md describes the meaning of each event and what to do, and a test checks that the
+/// page and this list agree.
 enum class event_id : std::uint16_t {
     entry_started = 1001,
     entry_ready = 1002,
@@ -119,7 +120,7 @@
     vm_capacity_changed = 1954,
 };
 
-/// Catalogue line of an event.
+/// Number, name and level of an event.
 struct event_definition {
     event_id id;
     std::string_view name;
--- a/telemetry/event_log.cpp
+++ b/telemetry/event_log.cpp
@@ -62,7 +62,7 @@
 
 namespace {
 
-/// Hands finished lines to the writer that never blocks. Boost.Log calls it for one line at a time.
+/// Passes formatted lines to the non-blocking writer. Boost.Log calls the backend for one line at a time.
 class line_backend
     : public boost::log::sinks::basic_formatted_sink_backend<char, boost::log::sinks::synchronized_feeding> {
   public:
--- a/telemetry/event_log.hpp
+++ b/telemetry/event_log.hpp
@@ -9,7 +9,7 @@
 
 namespace siskinpaddle {
 
-/// One field of an event, as text.
+/// One field of an event; the value is stored as text.
 struct event_field {
     std::string_view name;
     std::string value;
@@ -22,16 +22,16 @@
         : name(field), value(std::to_string(number)) {}
 };
 
-/// Sends events to `descriptor` (standard output), one line each, from `least` upwards. Never waits for the
-/// reader. Call before any thread logs; a second call replaces the first.
+/// Starts logging events from `min_level` upwards to `descriptor` (standard output by default), one line
+/// each. Logging never waits for the reader. Call before any thread logs; a second call replaces the first.
 void start_event_log(std::string_view process, event_level min_level, int descriptor = 1);
 
-/// Writes what was collected; call now and then, since lines that come together are written together, and the
-/// last ones wait for the next.
+/// Writes the buffered lines. Call periodically: lines that are logged within a short time are coalesced, and
+/// the last ones are otherwise buffered until the next line is logged.
 void flush_event_log();
 
-/// Writes one event: time, level, number, name and `key=value` fields. Values with blanks are quoted.
-/// Thread-safe. Credentials must never be among the fields.
+/// Writes one event: time, level, process, number, name and `key=value` fields. Empty values and values with
+/// blanks or quotes are quoted. Thread-safe. Fields must never contain credentials.
 void log_event(event_id id, std::initializer_list<event_field> fields = {});
 
 } // namespace siskinpaddle
--- a/telemetry/line_writer.cpp
+++ b/telemetry/line_writer.cpp
@@ -33,7 +33,7 @@
 bool line_writer::flush() {
     m_last_flush_at = std::chrono::steady_clock::now();
     std::size_t written = 0;
-    // A pipe that polls as writable takes PIPE_BUF bytes without blocking, and no more for certain.
+    // A pipe that poll() reports as writable accepts PIPE_BUF bytes without blocking; more isn't guaranteed.
     while (written < m_buffer.size() && can_write(m_descriptor)) {
         const std::size_t size = std::min<std::size_t>(PIPE_BUF, m_buffer.size() - written);
         const ssize_t count = ::write(m_descriptor, m_buffer.data() + written, size);
--- a/telemetry/metrics.cpp
+++ b/telemetry/metrics.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Logarithmic buckets from 0.1 ms to 100 s, ten to a decade.
+/// Logarithmic buckets from 0.1 ms to 100 s, ten per decade.
 using log_axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
 
 auto make_buckets() {
--- a/telemetry/metrics.hpp
+++ b/telemetry/metrics.hpp
@@ -7,7 +7,7 @@
 
 namespace siskinpaddle {
 
-/// Counters and latency histograms of one process. Not thread-safe; owned by one task.
+/// Counters and latency histograms of one process. Not thread-safe; used by one task.
 class metrics {
   public:
     metrics();
@@ -22,10 +22,11 @@
     /// Records a duration in milliseconds under `name`.
     void observe(const std::string& name, double ms);
 
-    /// Upper edge in milliseconds of the bucket in which the quantile lies; 0 without observations.
+    /// Returns the upper edge in milliseconds of the bucket that contains the quantile, or 0 without
+    /// observations.
     [[nodiscard]] double quantile(const std::string& name, double q) const;
 
-    /// Text form: one `name value` line each, histograms as cumulative buckets.
+    /// Returns the text form: one `name value` line per counter, histograms as cumulative buckets.
     [[nodiscard]] std::string to_text() const;
 
   private:
--- a/tests/net/free_port.hpp
+++ b/tests/net/free_port.hpp
@@ -6,13 +6,13 @@
 
 namespace siskinpaddle::tests {
 
-/// A port of the loopback address that nobody listens on. It comes from a range of this test process that
-/// lies below the ports the system gives to outgoing connections (from 32768), which could else take it
-/// between this call and its use. Returns 0 when the range is used up.
+/// Returns a loopback port on which no process listens, or 0 when the range is used up. The port is from a
+/// range of this test process below the ports that the system assigns to outgoing connections (from 32768);
+/// such a connection could otherwise occupy the port between this call and its use.
 inline std::uint16_t free_port() {
     constexpr int range_start = 10'000;
-    constexpr int range_size = 500; // More than any test file takes.
-    constexpr int range_count = 40; // More than run side by side; the last ends at 30000.
+    constexpr int range_size = 500; // More than any test file uses.
+    constexpr int range_count = 40; // More than the tests that run in parallel; the last range ends at 30000.
     static const int first_port = range_start + getpid() % range_count * range_size;
     static int next_offset = 0;
     for (int tries = 0; tries < range_size; ++tries) {
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -31,9 +31,9 @@
 
 } // namespace
 
-TEST_CASE("only an answer whose end is marked counts as whole") {
-    // A target dies half-way through its answer. The caller must never take the half for the whole: evhttp
-    // itself reports a close-delimited half as a good 200.
+TEST_CASE("an answer is complete only when its end is marked") {
+    // Guards against treating a truncated answer as complete when a target dies while it answers: evhttp
+    // itself reports a truncated close-delimited answer as a complete 200.
     struct row {
         const char* description;
         const char* answer;
@@ -43,19 +43,20 @@
     };
     using s = exchange_status;
     const std::vector<row> rows{
-        {"length-delimited, whole", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfour", true, s::answered,
+        {"length-delimited, complete", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfour", true, s::answered,
          "four"},
-        {"length-delimited, half", "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nfour", true, s::reset, ""},
-        {"chunked, whole", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfour\r\n0\r\n\r\n",
+        {"length-delimited, truncated", "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nfour", true, s::reset,
+         ""},
+        {"chunked, complete", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfour\r\n0\r\n\r\n",
          true, s::answered, "four"},
         {"chunked, no last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfour\r\n", true,
          s::reset, ""},
-        {"chunked, half a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\nfour", true,
+        {"chunked, truncated chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\nfour", true,
          s::reset, ""},
         {"close-delimited", "HTTP/1.1 200 OK\r\n\r\nfour", true, s::incomplete, "four"},
         {"close-delimited, empty", "HTTP/1.1 200 OK\r\n\r\n", true, s::incomplete, ""},
         {"no content", "HTTP/1.1 204 No Content\r\n\r\n", true, s::answered, ""},
-        {"half a head", "HTTP/1.1 200 OK\r\nContent-Le", true, s::reset, ""},
+        {"truncated head", "HTTP/1.1 200 OK\r\nContent-Le", true, s::reset, ""},
         {"no answer", "", true, s::reset, ""},
         {"malformed head", "what is this\r\n\r\n", true, s::reset, ""},
     };
@@ -71,7 +72,7 @@
     }
 }
 
-TEST_CASE("a request that reached nobody is told apart from one that may have run") {
+TEST_CASE("a request that reached no server is distinguished from one that may have been executed") {
     event_loop loop;
     http_client client(loop);
     endpoint unused_endpoint;
@@ -89,9 +90,9 @@
     CHECK(unresponsive_server.requests == 1);
 }
 
-TEST_CASE("a request is never sent twice, on fresh and on kept connections") {
-    // The target reads a seat confirmation and dies before it answers. Sent again by the library, the seat
-    // would be sold twice.
+TEST_CASE("a request is never sent twice, on new and on kept-alive connections") {
+    // The target reads a seat confirmation and dies before it answers. If the client library sent the request
+    // again, the seat would be sold twice.
     for (const bool fresh : {true, false}) {
         CAPTURE(fresh);
         event_loop loop;
@@ -106,9 +107,9 @@
     }
 }
 
-TEST_CASE("an abandoned request's late answer reaches nobody else") {
-    // The first request times out; its answer comes late. A connection that were reused would hand it to the
-    // second caller, who would read another passenger's booking.
+TEST_CASE("the late answer to a timed-out request is not delivered to another call") {
+    // The first request times out and its answer comes late. If the connection were reused, the second caller
+    // would receive this answer: another passenger's booking.
     event_loop loop;
     std::shared_ptr<server_request> pending_request;
     http_server server(loop, {}, [&](const std::shared_ptr<server_request>& from) {
@@ -134,7 +135,7 @@
     CHECK(answer.body == "second");
 }
 
-TEST_CASE("answers above the bound are cut off, with or without a length") {
+TEST_CASE("answers above the size limit are rejected, with or without a length") {
     const std::string large(5000, 'x');
     for (const std::string head :
          {"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n"}) {
@@ -149,7 +150,7 @@
     }
 }
 
-TEST_CASE("a server outlives a caller that hangs up before its answer") {
+TEST_CASE("a server keeps working when a client disconnects before its answer") {
     event_loop loop;
     std::shared_ptr<server_request> pending_request;
     http_server server(loop, {},
@@ -171,7 +172,7 @@
     CHECK(server.requests_in_progress() == 0);
 }
 
-TEST_CASE("a drained listener takes no connection and asks kept ones to close") {
+TEST_CASE("a drained listener accepts no connection and asks clients to close kept-alive ones") {
     event_loop loop;
     http_server server(loop, {},
                        [](const std::shared_ptr<server_request>& from) { from->reply(200, {}, "ok"); });
@@ -186,7 +187,7 @@
     CHECK(send_and_wait(loop, client, make_call(where)).status == exchange_status::connect_failed);
 }
 
-TEST_CASE("queries and headers are read as callers write them") {
+TEST_CASE("query parameters and headers are parsed") {
     CHECK(query_parameter("/a?x=1&y=2", "y") == "2");
     CHECK(query_parameter("/a?x=1&y", "y").empty());
     CHECK(query_parameter("/a", "y").empty());
@@ -197,17 +198,16 @@
     CHECK_FALSE(headers.has("retry"));
 }
 
-TEST_CASE("a request that was given up is not delivered afterwards") {
-    // A machine is moved twice by two nodes that each believe it is theirs. A zone was cut off while its node
-    // ordered the move; the node timed out, closed the connection in order and lost its duty. Six seconds
-    // later the cut healed, the kernel sent what the closed connection still held, and the order of the old
-    // owner was carried out after one of the new owner's. A reset drops what is held.
+TEST_CASE("a timed-out or cancelled request is not delivered later") {
+    // A node's order to move a machine times out in a partition, and the node loses its duty. After an
+    // orderly close the kernel would deliver the order six seconds later, when the partition heals, after an
+    // order of the new owner, so the machine would be moved twice. A reset discards the unsent data.
     for (const bool cancelled : {false, true}) {
         CAPTURE(cancelled);
         event_loop loop;
         raw_server server(loop, "", false);
         http_client client(loop);
-        // On a busy machine a try may be over before its request has left; another one follows then.
+        // On a busy machine the call may end before its request is sent; the loop then sends another one.
         while (server.requests == 0) {
             http_call call = make_call(server.local_endpoint(), "POST");
             call.timeout = cancelled ? 20s : 50ms;
--- a/tests/net/large_answer_test.cpp
+++ b/tests/net/large_answer_test.cpp
@@ -8,14 +8,13 @@
 using siskinpaddle::tests::loop_until;
 using siskinpaddle::tests::raw_server;
 
-TEST_CASE("a large answer does not take a turn of the loop for each few kilobytes") {
-    // A pool's owner in the peak of a turn follows the store with a copy that is 5.8 to 7.6 s old, and counts
-    // 12 of 55 waiting jobs. Its loop takes 150 to 200 ms a turn, and libevent reads 4 KB of a connection in
-    // a turn: of a watch's answer of 118,709 bytes half was there when the watch was given up. It was asked
-    // for again, larger each time ("watch-resumed ... after_ms=4544 failures=2").
+TEST_CASE("a large answer does not take an iteration of the event loop per few kilobytes") {
+    // Guards against watches that time out on a busy pool owner: libevent reads 4 KB per iteration of 150 to
+    // 200 ms, so half of an answer of 118,709 bytes is read by the timeout and each retry is larger. The
+    // owner's copy of the store gets 5.8 to 7.6 s old and it counts 12 of 55 waiting jobs.
     constexpr std::size_t body_size = 256UL * 1024;
-    constexpr int max_iterations =
-        32; // The server writes 16 KB in a turn: 16 turns, and some to connect and to ask.
+    // The server writes 16 KB per iteration: 16 iterations, and some to connect and to send the request.
+    constexpr int max_iterations = 32;
     event_loop loop;
     raw_server server(loop,
                       "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body_size) + "\r\n\r\n" +
@@ -26,7 +25,7 @@
     std::unique_ptr<timer> iteration_timer;
     iteration_timer = loop.make_timer([&] {
         ++iterations;
-        std::this_thread::sleep_for(2ms); // Long enough that what was written in a turn is there in the next.
+        std::this_thread::sleep_for(2ms); // Lets bytes written in one iteration arrive by the next.
         iteration_timer->start(0ms);
     });
     iteration_timer->start(0ms);
--- a/tests/net/large_request_test.cpp
+++ b/tests/net/large_request_test.cpp
@@ -6,12 +6,13 @@
 using namespace siskinpaddle;
 using siskinpaddle::tests::loop_until;
 
-TEST_CASE("a large request does not take a turn of the loop for each few kilobytes") {
-    // Clients of large jobs, and entries that hand them to the pool's owner, wait until their time is up at a
-    // node whose loop takes 150 to 200 ms a turn. A server's connections read 4 KB in a turn: a job of 64 KB
-    // is read for three seconds, the entry gives its owner up after 0.9 s and leaves the job in the inbox.
+TEST_CASE("a large request does not take an iteration of the event loop per few kilobytes") {
+    // Guards against timeouts of clients and entries that send large jobs to a busy node. A server connection
+    // reads 4 KB per iteration of 150 to 200 ms: reading a job of 64 KB takes three seconds, and the entry
+    // stops waiting for the pool's owner after 0.9 s and leaves the job in the inbox.
     constexpr std::size_t body_size = 256UL * 1024;
-    constexpr int max_iterations = 32; // The client writes 16 KB in a turn: 16 turns, and some to connect.
+    // The client writes 16 KB per iteration: 16 iterations, and some to connect.
+    constexpr int max_iterations = 32;
     event_loop loop;
     std::size_t received = 0;
     http_server server(loop, {.max_body = 1U << 20U}, [&](const std::shared_ptr<server_request>& request) {
@@ -24,7 +25,7 @@
     std::unique_ptr<timer> iteration_timer;
     iteration_timer = loop.make_timer([&] {
         ++iterations;
-        std::this_thread::sleep_for(2ms); // Long enough that what was written in a turn is there in the next.
+        std::this_thread::sleep_for(2ms); // Lets bytes written in one iteration arrive by the next.
         iteration_timer->start(0ms);
     });
     iteration_timer->start(0ms);
--- a/tests/net/loop_clock_test.cpp
+++ b/tests/net/loop_clock_test.cpp
@@ -7,7 +7,7 @@
 using namespace siskinpaddle;
 using namespace siskinpaddle::tests;
 
-TEST_CASE("the loop's clock goes with the steady clock while the loop is idle") {
+TEST_CASE("the loop clock advances with the steady clock while the loop is idle") {
     event_loop loop;
     loop_clock clock(loop);
     CHECK(clock.read(event_loop::now()) == 0ms);
@@ -16,12 +16,12 @@
     REQUIRE(loop_until(loop, [&] { return event_loop::now() - started_at >= 600ms; }));
     const milliseconds elapsed = clock.read(event_loop::now());
     CHECK(elapsed <= event_loop::now() - started_at);
-    CHECK(elapsed >= 400ms); // Each tick may come a little late.
+    CHECK(elapsed >= 400ms); // Each tick may be slightly late.
 }
 
-TEST_CASE("time that a handler takes counts as one tick, however long it is") {
-    // An entry refuses every job, "the store fails": its loop took a second for one handler, and the store's
-    // answer lay unread in the socket all the while.
+TEST_CASE("the duration of a handler counts as at most one tick") {
+    // Guards against an entry that refuses every job because it takes the store for unresponsive: its loop
+    // spends a second in one handler while the store's answer stays unread in the socket.
     event_loop loop;
     loop_clock clock(loop);
     clock.start();
@@ -30,7 +30,7 @@
     CHECK(clock.read(event_loop::now()) <= 3 * loop_clock::tick);
 }
 
-TEST_CASE("the loop's clock stands still while it rests") {
+TEST_CASE("the loop clock doesn't advance while it is stopped") {
     event_loop loop;
     loop_clock clock(loop);
     clock.start();
--- a/tests/net/loop_until.hpp
+++ b/tests/net/loop_until.hpp
@@ -6,9 +6,9 @@
 
 namespace siskinpaddle::tests {
 
-/// Runs the loop until `condition` holds, which is asked between turns and may run the loop itself. Returns
-/// false when a generous bound passes first, which only a fault or a stuck machine reaches: no check depends
-/// on how fast things are.
+/// Runs the loop until `condition` holds. The condition is checked between iterations and may run the loop
+/// itself. Returns false when `timeout` expires first. The timeout is long enough that only a fault or a
+/// stalled machine reaches it, so no check depends on the speed of the machine.
 inline bool loop_until(event_loop& loop, const std::function<bool()>& condition, milliseconds timeout = 60s) {
     const timestamp deadline = event_loop::now() + timeout;
     const std::unique_ptr<timer> poll_timer = loop.make_timer([&loop] { loop.stop(); });
--- a/tests/net/raw_server.hpp
+++ b/tests/net/raw_server.hpp
@@ -11,8 +11,8 @@
 
 namespace siskinpaddle::tests {
 
-/// A target that answers each connection's first bytes with fixed ones, then closes or stays silent. It
-/// counts what it read, which is the truth on what left the client.
+/// A target that answers the first request on each connection with fixed bytes, then closes the connection or
+/// sends nothing more. Counts the requests that it reads, so that a test knows what left the client.
 class raw_server {
   public:
     raw_server(event_loop& loop, std::string answer, bool close_after)
@@ -44,7 +44,7 @@
         return {"127.0.0.1", ntohs(bound.sin_port)};
     }
 
-    /// Sends more on all open connections.
+    /// Sends `bytes` on all open connections.
     void send_to_all(const std::string& bytes) {
         for (bufferevent* item : m_connections) {
             bufferevent_write(item, bytes.data(), bytes.size());
@@ -52,9 +52,9 @@
     }
 
     int requests = 0; ///< Request heads that arrived.
-    int resets = 0;   ///< Connections that the client reset ...
-    int closes = 0;   ///< ... or closed in order, so that all it ever sent still arrives.
-    /// Connections after this many are closed at the first byte without an answer; -1: never.
+    int resets = 0;   ///< Connections that the client reset.
+    int closes = 0;   ///< Connections that the client closed in order, which delivers all sent data.
+    /// After this many answers, closes each connection at its next request without an answer; -1: no limit.
     int remaining_answers = -1;
 
   private:
@@ -100,7 +100,8 @@
         bufferevent_write(item, m_answer.data(), m_answer.size());
     }
 
-    /// An end in order that a reset follows reads as the former; the error stays with the socket.
+    /// A reset that follows an orderly close is reported as an orderly close; only the socket's error shows
+    /// it.
     static bool has_error(int socket) {
         int error = 0;
         socklen_t size = sizeof(error);
--- a/tests/net/slow_answer_test.cpp
+++ b/tests/net/slow_answer_test.cpp
@@ -11,7 +11,7 @@
 
 struct slow_answer_case {
     const char* description;
-    int sent_parts; ///< That come, of ten.
+    int sent_parts; ///< Number of parts that are sent, of ten.
     milliseconds max_duration;
     exchange_status status;
 };
@@ -22,16 +22,16 @@
 
 } // namespace
 
-TEST_CASE("a call for a large answer lasts as long as the answer goes on arriving") {
-    // After all nodes lost power two of four pools have no owner for the rest of the day. Their new owners
-    // read the accepted jobs, 340 KB over a link of 2 Mbit/s, and each time gave the page up after 1.5 s,
-    // with most of it there, and asked for it again.
+TEST_CASE("a call for a large answer doesn't time out while the answer keeps arriving") {
+    // Guards against pools that have no owner after all nodes lost power, two of four in this case: new
+    // owners read the accepted jobs, 340 KB over a link of 2 Mbit/s, aborted each page after 1.5 s with most
+    // of it received, and requested it again.
     using s = exchange_status;
     const std::vector<slow_answer_case> rows{
-        {"goes on arriving", total_parts, 10s, s::answered},
+        {"keeps arriving", total_parts, 10s, s::answered},
         {"stops half-way", total_parts / 2, 10s, s::timed_out},
-        {"arrives too slowly in all", total_parts, 700ms, s::timed_out},
-        {"no such allowance", total_parts, 0ms, s::timed_out},
+        {"exceeds the maximum duration", total_parts, 700ms, s::timed_out},
+        {"no maximum duration given", total_parts, 0ms, s::timed_out},
     };
     for (const slow_answer_case& row : rows) {
         CAPTURE(row.description);
--- a/tests/telemetry/telemetry_test.cpp
+++ b/tests/telemetry/telemetry_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace siskinpaddle;
 
-TEST_CASE("the catalogue page has every event, with its level, and no other") {
+TEST_CASE("the documented events and their levels match the catalogue") {
     std::ifstream file(EVENTS_PAGE);
     REQUIRE(file);
     std::set<std::string> lines;
@@ -39,7 +39,7 @@
     CHECK(lines == expected);
 }
 
-TEST_CASE("quantiles name the bucket in which they lie") {
+TEST_CASE("a quantile is the upper edge of its bucket") {
     metrics m;
     CHECK(m.quantile("x", 0.5) == 0);
     for (int i = 1; i <= 1000; ++i) {
@@ -54,9 +54,9 @@
     CHECK(m.to_text().find("siskinpaddle_x_ms_count 1000\n") != std::string::npos);
 }
 
-TEST_CASE("a log reader that stops reading never holds the process up") {
-    // All jobs of a pool stop: whatever collects its owner's log stalls, the pipe fills, and the next line
-    // blocks the process until its lease has run out.
+TEST_CASE("a log reader that stops reading doesn't block the process") {
+    // Guards against the loss of a pool's owner when its log reader stalls: the pipe fills, the next log line
+    // blocks the process until its lease has expired, and all jobs of the pool stop.
     int pipe_ends[2] = {-1, -1};
     REQUIRE(pipe(pipe_ends) == 0);
     line_writer writer(pipe_ends[1]);
--- a/tests/telemetry/test_log.hpp
+++ b/tests/telemetry/test_log.hpp
@@ -6,8 +6,8 @@
 
 namespace siskinpaddle::tests {
 
-/// Starts the event log once for a test process: errors only, or from the level that the environment variable
-/// SISKINPADDLE_TEST_LOG names. Not thread-safe.
+/// Starts the event log once per test process. Logs errors only, or events from the level in the environment
+/// variable SISKINPADDLE_TEST_LOG. Not thread-safe.
 inline void start_test_log() {
     static bool started = false;
     if (started) {
