--- a/net/loop_clock.hpp
+++ b/net/loop_clock.hpp
@@ -14,7 +14,7 @@
 /// iterations take 150 ms.
 class loop_clock {
   public:
-    /// Step of the clock. Short compared with the times that are measured with it, which start at 500 ms;
+    /// Step of the clock. Short compared with the times that this clock is used for, which start at 500 ms;
     /// causes twenty wake-ups per second while the clock runs.
     static constexpr milliseconds tick{50};
 
