--- a/tests/platform/machine_list_test.cpp
+++ b/tests/platform/machine_list_test.cpp
@@ -6,10 +6,10 @@
 using namespace siskinpaddle;
 using siskinpaddle::tests::loop_until;
 
-TEST_CASE("a list of machines that can't be read is not an empty one") {
-    // An operator reads that a wave is completed though none of its machines had its upkeep. The platform's
-    // answer to the list of machines could not be read; it was taken for a whole list without machines, and
-    // machines that no list names count as gone for good.
+TEST_CASE("an unreadable list of machines does not count as an empty list") {
+    // Guards against a wave that is reported as completed although none of its machines had maintenance: the
+    // platform's list of machines can't be parsed, is read as a complete list without machines, and machines
+    // that are not listed count as removed.
     for (const char* body :
          {R"({"machines":[{"machine":"m1","pool":"p")", "", "[]", R"({"machines":"none"})"}) {
         INFO(std::string(body));
--- a/tests/platform/records_test.cpp
+++ b/tests/platform/records_test.cpp
@@ -9,7 +9,7 @@
 using namespace siskinpaddle;
 using namespace siskinpaddle::platform;
 
-TEST_CASE("task names go there and back, and nothing else is one") {
+TEST_CASE("task names are encoded and decoded, and other texts are refused") {
     const jobs::task_id task{"5c0e7a21d94b36f8", 2, 1, 17};
     CHECK(encode_task(task) == "5c0e7a21d94b36f8.2.1.17");
     CHECK(decode_task(encode_task(task)) == task);
@@ -21,7 +21,8 @@
 
 namespace {
 
-/// A whole registration; `field` is left out, or set to the JSON text `value`. A dot leads into an object.
+/// Returns a valid registration in which `field` is set to the JSON text `value`, or omitted if `value` is
+/// empty. A dot in `field` selects a field of a nested object.
 std::string make_registration(const std::string& field = {}, const std::string& value = {}) {
     boost::json::value document = boost::json::parse(
         R"({"service":"s","address":"10.128.0.9:8080","zone":"z1","version":"v1","slots":8,"state":"draining",
@@ -53,7 +54,7 @@
 
 } // namespace
 
-TEST_CASE("a registration's fields end up where they belong") {
+TEST_CASE("the fields of a registration are decoded") {
     const auto vm = decode_registration(make_registration());
     REQUIRE(vm.has_value());
     CHECK(vm->incarnation == "i-7");
@@ -71,26 +72,26 @@
     CHECK(decode_registration(make_registration("remaining_ms"))->remaining_ms == -1);
 }
 
-TEST_CASE("a registration without the counts that are zero, or with fields of a later version, names a VM") {
+TEST_CASE("a registration without zero counts, or with unknown fields, is valid") {
     for (const std::string field :
          {"slots", "cold_left_ms", "remaining_ms", "clock_ms", "seq", "capacity.gpu"}) {
         INFO(field);
         CHECK(decode_registration(make_registration(field)).has_value());
         CHECK(decode_registration(make_registration(field, "0")).has_value());
-        CHECK(decode_registration(make_registration(field, "120.0"))
-                  .has_value()); // Whole, from a writer without whole numbers.
+        // A writer may store integers as floating-point.
+        CHECK(decode_registration(make_registration(field, "120.0")).has_value());
     }
     CHECK(decode_registration(make_registration("speed", R"({"new":[1]})")).has_value());
     CHECK(decode_registration(make_registration("labels", R"(["a","r1-3","later"])")).has_value());
 }
 
-TEST_CASE("an entry of another writer that is no whole registration names no VM to use") {
-    // Bookings wait on a VM that isn't there. Another program writes entries beside those of the VMs: a field
-    // is missing or holds another type, a state is unknown, a number is out of bounds. Each such entry was
-    // read with empty values in the place of what was wrong, and counted as a VM with cores to give.
+TEST_CASE("an incomplete or malformed registration is refused") {
+    // Guards against jobs that wait on a VM that doesn't exist: another program writes a value under the VMs'
+    // prefix with a missing field, a wrong type, an unknown state or a number out of bounds. Read with empty
+    // values in place of the invalid ones, it counts as a VM with free capacity.
     struct bad_field {
         std::string field;
-        std::vector<std::string> values; ///< Empty text: the field is missing.
+        std::vector<std::string> values; ///< JSON texts; an empty one omits the field.
     };
     const std::vector<std::string> invalid_texts{"", "null", "7", "true", R"([])", R"({})", R"("")"};
     const std::vector<std::string> invalid_counts{"null", R"("7")", "true",  "-1",
@@ -127,9 +128,9 @@
     }
 }
 
-TEST_CASE("an entry whose bytes can't be read, or whose key names no VM, names no VM to use") {
-    // Every node stops, one after the other, or a call reaches a VM that it isn't meant for. An entry holds
-    // no text at all, or its key holds what can't stand in the header that names the VM.
+TEST_CASE("a registration that can't be parsed, or whose key contains no VM incarnation, is refused") {
+    // Guards against a crash of every node, one after another, and against calls that reach the wrong VM: a
+    // value holds arbitrary bytes, or its key holds characters that are invalid in the incarnation header.
     for (const std::string& text :
          {std::string(), std::string("\0\xff\xfe", 3), std::string("null"), std::string("[]"),
           std::string("7"), std::string("{"), make_registration() + "x", std::string(100'000, '['),
@@ -144,7 +145,7 @@
     }
 }
 
-TEST_CASE("fields that are left out read as zero, false or empty") {
+TEST_CASE("omitted fields read as zero, false or empty") {
     findings problems;
     const jobs::job_spec spec =
         decode_job(R"({"spec":"x","phases":[{"count":3,"cpu":500},{"count":1,"after":[0],"gang":true}]})",
@@ -158,7 +159,7 @@
     CHECK(spec.occurrences == 1);
 }
 
-TEST_CASE("a job that can't be scheduled is refused with the place of each problem") {
+TEST_CASE("an invalid job is refused with the location of each problem") {
     struct bad_job {
         const char* body;
         const char* place;
@@ -175,7 +176,7 @@
     }
 }
 
-TEST_CASE("the longest matching prefix under the right host names the queue") {
+TEST_CASE("a call matches the queue with the longest prefix under its host") {
     const auto configuration = decode_configuration(
         R"({"version":3,"routes":[{"name":"a","host":"h","prefix":"/x/","service":"s"},
         {"name":"b","host":"h","prefix":"/x/y/","service":"s"},{"name":"c","host":"g","prefix":"/x/","service":"t"}],
@@ -189,9 +190,10 @@
     CHECK(configuration->pools_with_queues() == std::vector<std::string>{"s", "t"});
 }
 
-TEST_CASE("a configuration or wave that can't be read whole is none") {
-    // A queue that the operator has is answered with 404, or every VM is sent to its upkeep at once: damaged
-    // fields of what the operator wrote were read as empty, and the rest came into force.
+TEST_CASE("a partly unreadable configuration or wave is refused") {
+    // Guards against calls to a configured queue that are answered with 404, and against maintenance of all
+    // machines at once: damaged fields of a value that the operator wrote are read as empty, and the other
+    // fields come into force.
     for (const std::string text :
          {"", "[]", "{", R"({"routes":[]})", R"({"version":3})", R"({"version":"3","routes":[]})",
           R"({"version":0,"routes":[]})", R"({"version":1e300,"routes":[]})", R"({"version":3,"routes":{}})",
@@ -212,7 +214,7 @@
     }
 }
 
-TEST_CASE("numbers beyond their bounds don't wrap around") {
+TEST_CASE("numbers out of bounds are clamped and don't wrap around") {
     const auto configuration = decode_configuration(
         R"({"version":3,"routes":[{"name":"a","max_attempts":4294967296,"priority":4294967297}]})");
     REQUIRE(configuration.has_value());
@@ -225,7 +227,7 @@
     CHECK(spec.steps[0].disruption_budget > 0);
 }
 
-TEST_CASE("a wave and its state") {
+TEST_CASE("a wave is decoded and its status is encoded") {
     const auto wave = decode_wave(R"({"wave":4,"machines":["m-1","m-2"],"duration_s":2.5,"max_count":3})");
     REQUIRE(wave.has_value());
     CHECK(wave->machines.size() == 2);
@@ -235,7 +237,7 @@
     CHECK(wave_status_key(4) == "status/wave/4");
 }
 
-TEST_CASE("what stand-ins encode is decoded to the same") {
+TEST_CASE("encoded records are decoded to the same values") {
     jobs::vm_info vm;
     vm.incarnation = "i-7";
     vm.machine = "m-1";
--- a/tests/platform/store_client_test.cpp
+++ b/tests/platform/store_client_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A store that answers every call with one code and body.
+/// A store that answers every call with the same code and body.
 class fixed_store {
   public:
     fixed_store(int code, std::string body)
@@ -68,25 +68,25 @@
 
 } // namespace
 
-TEST_CASE("an item that can't be read leaves the others of a listing or watch as they are") {
-    // All nodes stop one after the other, or none sees a VM any more. One entry among hundreds holds bytes
-    // that are no text, broken base64, or no key; the whole answer was thrown away for it, or reading the
-    // entry's empty key ended the process.
+TEST_CASE("an unreadable item does not affect the other items of a listing or watch") {
+    // Guards against a crash of all nodes, one after another, and against nodes that lose all VMs: one item
+    // among hundreds holds invalid UTF-8, invalid base64 or no key, and either the whole answer is discarded
+    // or the empty key crashes the process.
     struct malformed_item {
         std::string description;
         std::string text;
-        std::vector<std::string> expected_keys; ///< What is read of it.
+        std::vector<std::string> expected_keys; ///< Keys of the items that are decoded from `text`.
     };
     const std::vector<malformed_item> malformed_items{
-        {"no object", "7", {}},
+        {"not an object", "7", {}},
         {"null", "null", {}},
         {"no key", R"({"value":"eA==","revision":4})", {}},
         {"a key of another type", R"({"key":7,"value":"eA==","revision":4})", {}},
         {"an empty key", R"({"key":"","value":"eA==","revision":4})", {}},
         {"no value", R"({"key":"servers/o","revision":4})", {"servers/o"}},
-        {"broken base64", R"({"key":"servers/o","value":"e*=","revision":4})", {"servers/o"}},
+        {"invalid base64", R"({"key":"servers/o","value":"e*=","revision":4})", {"servers/o"}},
         {"a value of another type", R"({"key":"servers/o","value":{},"revision":4})", {"servers/o"}},
-        {"bytes that are no text",
+        {"invalid UTF-8",
          "{\"key\":\"servers/\xff\xfe\",\"value\":\"eA==\",\"revision\":4}",
          {"servers/\xff\xfe"}},
     };
@@ -113,9 +113,9 @@
     }
 }
 
-TEST_CASE("an answer whose body can't be read counts as no answer") {
-    // A pool's jobs are gone after its owner changed. The store's answer was cut or garbled, and the listing
-    // that could not be read counted as an empty one.
+TEST_CASE("an answer with an unreadable body counts as no answer") {
+    // Guards against the loss of a pool's jobs at a takeover: the store's answer is truncated or corrupted,
+    // and the unreadable listing counts as an empty one.
     for (const std::string body : {"", "{", "[]", "null", R"({"items":[{"key":"servers/a")"}) {
         for (const int code : {200, 412}) {
             INFO(code << " " << body);
@@ -128,10 +128,10 @@
     }
 }
 
-TEST_CASE("a call of an outage that fails after its end does not make the store look silent again") {
-    // Every client of the first second after an outage is refused once more, "the store fails", although the
-    // store answers. A call that was sent in the outage runs into its time-out just now, and the store
-    // counted as silent since that call was sent.
+TEST_CASE("a call from an outage that fails after its end does not make the store unresponsive again") {
+    // Guards against clients that are refused in the first second after an outage of the store although the
+    // store responds: a call that was sent during the outage times out after it, and the store counts as
+    // unresponsive since that call was sent.
     event_loop loop;
     bool is_unresponsive = true;
     std::vector<std::shared_ptr<server_request>> unanswered;
@@ -154,9 +154,9 @@
     bool answered = false;
     client.get("b", [&](const store_answer&) { answered = true; });
     REQUIRE(loop_until(loop, [&] { return answered; }));
-    CHECK_FALSE(unresponsive_time_at_failure.has_value()); // The first call still waits.
+    CHECK_FALSE(unresponsive_time_at_failure.has_value()); // The first call is still in flight.
     CHECK(client.unresponsive_for(event_loop::now()) < 300ms);
-    // Asked all along, the store answers all along.
+    // The store answers further calls until the first call times out.
     REQUIRE(loop_until(loop, [&] {
         client.get("c", [](const store_answer&) {});
         return unresponsive_time_at_failure.has_value();
