--- a/jobs/advice.cpp
+++ b/jobs/advice.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-/// A refused VM stays refused: the step's policy does not change. Asked again only in case the VM is another
-/// one.
+/// How long a refusal is cached. The step's policy does not change; the VM is queried again only in case it
+/// has been replaced by another one.
 constexpr milliseconds refusal_cache_duration = 60s;
-/// A ticket is not used in its last moments: the start must reach the VM while it is valid.
+/// A ticket is treated as expired this long before it does: the start order must reach the VM while the
+/// ticket is valid.
 constexpr milliseconds ticket_margin = 300ms;
-/// An answer that has not come by then beyond its expected time won't come.
+/// A query without an answer this long after its expected duration counts as lost.
 constexpr milliseconds answer_timeout = 1500ms;
 constexpr std::size_t min_queried_vms = 4;
 constexpr std::size_t max_queried_vms = 30;
--- a/jobs/advice.hpp
+++ b/jobs/advice.hpp
@@ -9,27 +9,27 @@
 
 namespace siskinpaddle::jobs {
 
-/// A question to the policy service: which of these VMs may run the step?
+/// A query to the policy service: which of these VMs may run the step.
 struct advice_request {
     std::string job;
     std::uint32_t occurrence = 0;
     std::uint32_t step = 0;
     std::vector<std::string> vms;
-    milliseconds expected_duration{0}; ///< How long the service takes for it.
+    milliseconds expected_duration{0}; ///< How long the service takes to answer.
 };
 
 struct advice_answer {
     bool succeeded = false;
-    std::map<std::string, std::string> tickets; ///< VM -> ticket, for those that may.
+    std::map<std::string, std::string> tickets; ///< VM -> ticket, for the VMs that may run the step.
     milliseconds ticket_validity{0};
 };
 
-/// What is known of the VMs that may run one step. Not thread-safe.
+/// Caches the policy service's answers about which VMs may run one step. Not thread-safe.
 class step_advice {
   public:
-    /// The ticket for a VM, or null while there is no valid one.
+    /// The ticket for a VM, or null if no valid one is cached.
     [[nodiscard]] const std::string* find_ticket(const std::string& vm, timestamp now) const;
-    /// Whether the VM is worth asking about: it was not, or its answer has run out.
+    /// Whether the next query should name the VM: no answer about it is cached, or the answer has expired.
     [[nodiscard]] bool needs_query(const std::string& vm, timestamp now) const;
     [[nodiscard]] bool is_pending(timestamp now) const noexcept { return now < m_pending_until; }
 
@@ -38,7 +38,7 @@
 
   private:
     struct verdict {
-        std::string ticket; ///< Empty: it may not.
+        std::string ticket; ///< Empty if the VM may not run the step.
         timestamp expires_at{0};
     };
 
@@ -46,8 +46,8 @@
     timestamp m_pending_until{0};
 };
 
-/// Most VMs that one question names. Each adds to the time of the answer, so only as many as the step may
-/// need.
+/// Number of VMs that one query names at most for a step with `idle_tasks` tasks without a run. Each VM makes
+/// the answer take longer, so no more VMs are named than the step may need.
 [[nodiscard]] std::size_t vms_per_query(std::size_t idle_tasks);
 
 } // namespace siskinpaddle::jobs
--- a/jobs/balance.cpp
+++ b/jobs/balance.cpp
@@ -8,30 +8,30 @@
 
 namespace {
 
-/// VMs with one label that a pool's tasks require.
+/// Counts of a pool's VMs with one label that its tasks require.
 struct label_account {
     std::size_t held = 0;
     std::size_t wanted = 0;
     std::size_t retained = 0;
 };
 
-/// A pool while a plan is made.
+/// Working state of a pool while a plan is made.
 struct pool_account {
     std::string name;
     std::map<std::string, label_account> labels;
-    std::size_t held = 0;                     ///< VMs that work for it, or are about to.
-    std::size_t min_vms = 0;                  ///< It keeps these whatever others need.
-    std::size_t wanted = 0;                   ///< Its share of what there is, by its need now.
-    std::size_t retained = 0;                 ///< Above this it gives machines back.
-    std::size_t wanted_for_late = 0;          ///< It can use so many more for work that is late.
-    std::vector<const balance_machine*> idle; ///< May leave at once.
+    std::size_t held = 0;                     ///< VMs that serve it, or will once their move is done.
+    std::size_t min_vms = 0;                  ///< It keeps these whatever other pools need.
+    std::size_t wanted = 0;                   ///< Its share of the available machines, by its present need.
+    std::size_t retained = 0;                 ///< Machines above this number may be released.
+    std::size_t wanted_for_late = 0;          ///< Further machines it can use for late work.
+    std::vector<const balance_machine*> idle; ///< Can be moved at once.
     std::vector<const balance_machine*>
-        evacuation_candidates; ///< May leave when their short runs have ended.
+        evacuation_candidates; ///< Can be moved once their short runs have ended.
 
     [[nodiscard]] std::size_t missing() const noexcept { return wanted > held ? wanted - held : 0; }
     [[nodiscard]] std::size_t surplus() const noexcept { return held > wanted ? held - wanted : 0; }
 
-    /// Counts a machine that works for the pool, or is about to.
+    /// Counts a machine that serves the pool, or will once its move is done.
     void add_machine(const balance_machine& machine) {
         ++held;
         for (auto& [label, account] : labels) {
@@ -44,7 +44,7 @@
             account.held -= machine.has_label(label) ? 1 : 0;
         }
     }
-    /// Whether the pool keeps as many VMs of each label as `bound` says when the machine leaves.
+    /// Whether the pool still has at least `bound` VMs of each label after the machine leaves.
     [[nodiscard]] bool can_release(const balance_machine& machine, std::size_t label_account::*bound) const {
         return std::ranges::none_of(labels, [&](const auto& item) {
             return machine.has_label(item.first) && item.second.held <= item.second.*bound;
@@ -64,7 +64,7 @@
     return found == demand.vms.end() ? nullptr : &*found;
 }
 
-/// Sorts the pool's machines into those that may leave now, may leave soon, and must stay.
+/// Classifies the pool's machines: can be moved now, can be moved after evacuation, must stay.
 void classify_machines(pool_account& account, const pool_demand& demand,
                        const std::vector<balance_machine>& machines) {
     std::vector<std::pair<std::int64_t, const balance_machine*>> clearable;
@@ -74,7 +74,7 @@
         }
         const vm_load* load = find_load(demand, machine.vm);
         if (machine.is_moving || (machine.is_up && load == nullptr)) {
-            account.add_machine(machine); // On its way, or not yet seen by the pool's owner.
+            account.add_machine(machine); // Being moved, or not yet known to the pool's owner.
             continue;
         }
         if (!machine.is_up || load == nullptr || !load->is_usable) {
@@ -90,7 +90,7 @@
             clearable.emplace_back(load->used_millicores, &machine);
         }
     }
-    // Those that are kept empty already can go at once, and the least busy ones are empty soonest.
+    // VMs that are already kept empty can be moved at once; the least used ones become empty soonest.
     std::ranges::stable_sort(account.idle, std::greater{}, &balance_machine::kept_empty);
     std::ranges::stable_sort(clearable, {}, [](const auto& item) { return item.first; });
     for (const auto& [used, machine] : clearable) {
@@ -98,8 +98,9 @@
     }
 }
 
-/// What a machine counts for: they differ in size, and it is not known which of them a pool will get. With
-/// all counted as the largest of the pool's own, a pool of smaller ones would get too few.
+/// Capacity that one machine counts for. Machines differ in size, and which of them a pool will get is not
+/// known. If each counted as much as the largest in the pool, a pool that gets smaller ones would get too
+/// few.
 std::int64_t mean_millicores(const std::vector<balance_machine>& machines) {
     std::int64_t sum = 0;
     for (const balance_machine& machine : machines) {
@@ -128,9 +129,8 @@
     return account;
 }
 
-/// Where there are fewer machines than all pools want, each gets the same share of what it wants beyond its
-/// least.
-/// Returns how many nobody wants.
+/// If there are fewer machines than all pools request, gives each pool the same share of its request beyond
+/// its minimum. Returns the number of machines that no pool needs.
 std::size_t distribute_shares(std::vector<pool_account>& pools, std::size_t machines) {
     std::size_t least = 0;
     std::size_t wanted = 0;
@@ -150,9 +150,9 @@
     return 0;
 }
 
-/// Gives machines that nobody needs to pools with late work, most to the pool that can use most. Answers a
-/// burst that left accepted jobs behind: they ask for nothing in time, so their pool gave its machines away
-/// and never finished them, while machines idled. Returns how many are still left.
+/// Assigns machines that no pool needs to pools with late work, first to the pool that can use most. After a
+/// burst, accepted jobs that are already late add nothing to the pool's need, so without this the pool would
+/// give its machines away and never finish them while machines idle. Returns the number of machines left.
 std::size_t assign_unneeded(std::vector<pool_account>& pools, std::size_t unneeded) {
     std::vector<pool_account*> by_late;
     by_late.reserve(pools.size());
@@ -177,7 +177,7 @@
     balance_plan& plan() { return m_plan; }
     std::vector<pool_account>& pools() { return m_pools; }
 
-    /// Gives pools the machines with the labels that their tasks require, as far as there are any.
+    /// Assigns machines with the labels that the pools' tasks require, as far as available.
     void fill_labels() {
         for (pool_account& pool : m_pools) {
             for (const auto& [label, account] : pool.labels) {
@@ -191,7 +191,8 @@
         }
     }
 
-    /// Gives the pool that lacks most the next machine, until nobody lacks or nothing is left.
+    /// Assigns the next machine to the pool with the largest deficit until no pool has one or no machine is
+    /// left.
     void fill_pools() {
         const auto any = [](const balance_machine&) { return true; };
         while (true) {
@@ -200,7 +201,7 @@
                 return;
             }
             if (!assign_spare(*neediest, any) && !assign_surplus(*neediest, any)) {
-                neediest->wanted = neediest->held; // Nothing is left for it now.
+                neediest->wanted = neediest->held; // No machine is available for it now.
             }
         }
     }
@@ -238,7 +239,7 @@
         return true;
     }
 
-    /// Takes a machine from the pool that has most to spare and any that can leave.
+    /// Takes a machine from the pool with the largest surplus that has a movable one.
     template <typename Fits>
     bool assign_surplus(pool_account& pool, const Fits& fits) {
         std::vector<pool_account*> donors;
--- a/jobs/balance.hpp
+++ b/jobs/balance.hpp
@@ -10,13 +10,13 @@
 
 namespace siskinpaddle::jobs {
 
-/// One VM as its pool's owner sees it.
+/// State of one VM as reported by its pool's owner.
 struct vm_load {
     std::string vm;
-    bool is_usable = false; ///< It takes work.
-    bool is_idle = false;   ///< Nothing runs there, or may yet start, and what ended there is stored.
-    bool released = false;  ///< It is kept empty, and a new owner would not wait for it.
-    bool hosts_long_running = false; ///< It has runs that don't end by themselves.
+    bool is_usable = false; ///< It accepts new runs.
+    bool is_idle = false;   ///< No run is or may become active there, and the ends of all runs are stored.
+    bool released = false;  ///< It is kept empty, and after a takeover the new owner would not wait for it.
+    bool hosts_long_running = false; ///< It runs long-running tasks.
     std::int64_t used_millicores = 0;
 
     template <typename Archive>
@@ -25,7 +25,7 @@
     }
 };
 
-/// The part of a pool's demand that only VMs with a certain label serve.
+/// The part of a pool's demand that only VMs with a given label can serve.
 struct label_demand {
     std::string label;
     std::int64_t need_millicores = 0; ///< As in `pool_demand`.
@@ -37,17 +37,18 @@
     }
 };
 
-/// What a pool's owner tells of its demand.
+/// A pool's demand as reported by the pool's owner.
 struct pool_demand {
-    std::int64_t need_millicores = 0; ///< Capacity that would keep its jobs within their objectives now.
+    std::int64_t need_millicores = 0; ///< Capacity needed now to finish jobs within their objectives.
     std::int64_t retained_millicores =
-        0; ///< The same, falling only slowly: what is worth keeping for what may come.
-    /// Further capacity for accepted work that is late. Served from machines that no pool needs for work that
-    /// can still be in time.
+        0; ///< The same, decaying slowly: capacity worth keeping for demand to come.
+    /// Further capacity for accepted work that is late. Served only from machines that no pool needs for work
+    /// that can still finish in time.
     std::int64_t late_millicores = 0;
-    /// VMs that its long-running tasks need at least: few of a step may share one, however small they are.
+    /// Minimum number of VMs for the long-running tasks: a step may limit how many of its tasks share a VM,
+    /// however small the tasks are.
     std::uint64_t min_vms = 0;
-    std::vector<label_demand> labels; ///< Each is contained in the figures above.
+    std::vector<label_demand> labels; ///< Included in the totals above.
     std::vector<vm_load> vms;
 
     template <typename Archive>
@@ -56,21 +57,21 @@
     }
 };
 
-/// One machine as the platform lists it.
+/// State of one machine as listed by the platform.
 struct balance_machine {
     std::string machine;
     std::string pool;
     std::string kind;
     std::string rack;
     std::string availability_zone;
-    std::string vm; ///< Empty while it runs none.
+    std::string vm; ///< Empty while it runs no VM.
     bool is_up = false;
     bool is_moving = false;
-    bool is_reserved = false; ///< An upkeep wants it, or an order about it is under way.
-    bool kept_empty = false;  ///< Its pool's owner keeps it empty already.
+    bool is_reserved = false; ///< Needed for maintenance, or an order for it is in flight.
+    bool kept_empty = false;  ///< Its pool's owner already keeps its VM empty.
     std::int64_t millicores = 0;
 
-    /// Whether its VM serves tasks that require the label.
+    /// Whether its VM can run tasks that require the label.
     [[nodiscard]] bool has_label(const std::string& label) const noexcept {
         return label == kind || label == rack;
     }
@@ -85,36 +86,37 @@
 
 struct balance_plan {
     std::vector<machine_move> moves;
-    std::set<std::string> vms_to_evacuate; ///< VMs that are to be empty, so that they can be moved next.
-    std::size_t unneeded_machines = 0;     ///< Machines beyond what all pools want together.
+    std::set<std::string> vms_to_evacuate; ///< VMs to evacuate so that their machines can be moved next.
+    std::size_t unneeded_machines = 0;     ///< Machines beyond the demand of all pools together.
 };
 
-/// What one plan leaves for the next.
+/// State carried over from one plan to the next.
 struct balance_state {
-    std::map<std::string, timestamp> surplus_since; ///< Pool -> since when it has more than it needs.
+    std::map<std::string, timestamp> surplus_since; ///< Pool -> when its surplus began.
     std::set<std::pair<std::string, std::string>>
-        refused_kinds; ///< Kind of machine and pool that don't go together.
+        refused_kinds; ///< Pairs of machine kind and pool for which a move was refused.
 };
 
-/// Figures of the balancing.
+/// Settings of the balancing.
 struct balance_settings {
-    /// VMs that a pool keeps whatever its demand, so that the loss of one leaves it serving.
+    /// VMs that a pool keeps regardless of its demand, so that it still serves after losing one.
     std::size_t min_vms = 2;
-    /// A pool gives machines back only after it had too many for this long. A move costs about as much as one
-    /// machine for a second, and so does the way back; a pause shorter than that is not worth it.
+    /// A pool releases machines only after it has had a surplus for this long. A move costs about as much as
+    /// one machine for a second, and so does moving it back; releasing for a shorter gap is not worth it.
     milliseconds release_delay = 500ms;
-    /// Beyond the demand, since tasks don't fill a VM to the last core.
+    /// Factor on the demand, since tasks don't fill a VM to the last core.
     double headroom = 1.15;
 };
 
-/// Plans which machines go to which pool. Answers demand that moves from pool to pool, several times what one
-/// holds, while the others idle: machines that nobody uses follow it, and wait in the spare pool, where they
-/// cost nothing, when nobody needs them. Where all together need more than there is, each gets the same share
-/// of its need, so that a pool whose turn ends gives way to the one whose turn begins. Machines with the
-/// labels that a pool's tasks require come first and leave last: counted by cores alone a pool whose tasks
-/// want one kind of machine would get another and ask for no more, and its jobs would never be done. Only VMs
-/// on which nothing runs are moved. `spare_pool` may be empty: then nothing is given back. Pools without an
-/// entry in `demands` are left alone.
+/// Plans which machines move to which pool. Demand peaks move from pool to pool and reach several times the
+/// capacity of one pool while other pools idle: unused machines are moved to the pools that need them, and to
+/// the spare pool, where they cost nothing, while no pool needs them. If the pools together need more than
+/// there is, each gets the same share of its need, so that a pool whose peak ends gives up machines to the
+/// one whose peak begins. Machines with labels that a pool's tasks require are assigned first and released
+/// last: counted by cores alone, a pool whose tasks require one kind of machine could be filled with another
+/// kind, request no more machines, and never finish its jobs. Only VMs without runs are moved. If
+/// `spare_pool` is empty, no machines are released. Machines of pools without an entry in `demands` are not
+/// moved.
 [[nodiscard]] balance_plan plan_balance(const std::vector<balance_machine>& machines,
                                         const std::map<std::string, pool_demand>& demands,
                                         const std::string& spare_pool, const balance_settings& settings,
--- a/jobs/evacuation_list.hpp
+++ b/jobs/evacuation_list.hpp
@@ -6,13 +6,13 @@
 
 namespace siskinpaddle::jobs {
 
-/// VMs that their pools' owners are to keep empty, so that their machines can be ordered away. Not
+/// VMs that their pools' owners keep empty so that their machines can be moved or maintained. Not
 /// thread-safe.
 ///
-/// A machine that is off runs no VM, and there is nothing to keep empty. Taken in under its empty name it
-/// would stand for every machine that is off: as long as one of them is on its way, or waits for its upkeep,
-/// none of the spare pool's other machines would count as free. Seen as machines that come at 50 a second
-/// where the platform takes 168, and not at all while a wave of upkeep goes on.
+/// A machine that is off runs no VM, so there is nothing to keep empty. If its empty VM name were added, it
+/// would match every machine that is off: while one of them is being moved or waits for maintenance, none of
+/// the spare pool's other machines would count as free. Machines would then be moved at 50 per second where
+/// the platform accepts 168, and not at all during a maintenance wave.
 class evacuation_list {
   public:
     void add(const std::string& pool, const std::string& vm) {
--- a/jobs/jobs.hpp
+++ b/jobs/jobs.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Public header of the jobs library: the decisions about jobs and the VMs of one pool. Pure: state, events
-/// and clock readings in, orders out; nothing here does I/O. Objects may be used from one thread at a time.
+/// Public header of the jobs library: scheduling decisions about jobs and the VMs of one pool. The library
+/// does no I/O: its inputs are state, events and clock readings, its outputs are orders. Each object may be
+/// used from one thread at a time.
 
 #include "jobs/advice.hpp"
 #include "jobs/balance.hpp"
--- a/jobs/label_meters.cpp
+++ b/jobs/label_meters.cpp
@@ -6,8 +6,7 @@
 
 namespace {
 
-/// How long after a task wanted a label a VM with it is kept: several of the turns in which demand comes and
-/// goes, 4 to 5 s each.
+/// How long a VM with a label is kept after a task last required it: several demand peaks of 4 to 5 s each.
 constexpr milliseconds label_retention = 20s;
 
 } // namespace
--- a/jobs/label_meters.hpp
+++ b/jobs/label_meters.hpp
@@ -10,23 +10,23 @@
 
 namespace siskinpaddle::jobs {
 
-/// Follows, for each label that tasks of a pool require, the capacity that they need. Not thread-safe.
+/// Tracks the capacity needed by a pool's tasks for each label that they require. Not thread-safe.
 ///
-/// A label that was asked for lately keeps a VM, as the pool itself does whatever its demand: the next task
-/// that wants it would wait for a machine first.
+/// At least one VM is kept for each recently requested label, as for the pool itself: without it the next
+/// task that requires the label would have to wait for a machine.
 class label_meters {
   public:
-    /// A job was handed in, accepted or turned away.
+    /// Records the submission of a job, whether accepted or refused.
     void record_arrival(const job_spec& spec, const work_gauge& gauge, timestamp now);
-    /// What VMs with each label are needed for. `wanted`: what tasks with the label use or would use now,
-    /// millicores.
+    /// Updates the meters and returns the demand for each label. `wanted`: millicores that tasks with the
+    /// label use, or would use if they ran now.
     [[nodiscard]] std::vector<label_demand> update(const std::map<std::string, std::int64_t>& wanted,
                                                    timestamp now);
 
   private:
     struct meter {
         demand_meter demand;
-        timestamp last_requested_at{0}; ///< When a task last wanted the label.
+        timestamp last_requested_at{0}; ///< When a task last required the label.
     };
 
     std::map<std::string, meter> m_meters;
--- a/jobs/maintenance.cpp
+++ b/jobs/maintenance.cpp
@@ -7,20 +7,21 @@
 
 namespace {
 
-/// The list of machines may be this much older than the moment it is read.
+/// Maximum age of the list of machines when it is read.
 constexpr milliseconds max_list_age = 1000ms;
-/// An order that was not confirmed within this is given again. Above the time that a call may take.
+/// An order without confirmation after this time is sent again. Longer than a call may take.
 constexpr milliseconds confirmation_timeout = 2500ms;
 
-/// Beside the upkeep itself: until it is planned, ordered, and seen to be over.
+/// Time per machine beside the maintenance itself: planning, ordering, and detecting that it is finished.
 constexpr milliseconds turnaround_overhead = 1000ms;
-/// Kept back at the wave's end for machines whose tasks leave one by one under a disruption budget, and for
-/// the seconds in which the orders' owner changes.
+/// Reserve at the end of a wave for machines whose tasks leave one at a time under a disruption budget, and
+/// for the seconds that a takeover by a new owner of the fleet takes.
 constexpr milliseconds wave_reserve = 7s;
 
-/// Whether an ordered upkeep is over: the machine runs another VM than before. One that was off runs none
-/// before and after; it is back when it is up although the upkeep's time has passed. An order that was not
-/// confirmed proves nothing by the passing of time: it may never have been carried out.
+/// Whether the maintenance no longer has to be waited for. Confirmed maintenance is finished once the machine
+/// is up with another VM than before; a machine that was off runs no VM before or after and is finished once
+/// it is up after the maintenance time. An order that is not confirmed by the timeout may never have been
+/// carried out; it is dropped here and sent again.
 bool is_no_longer_pending(const wave_machine& machine, const pending_maintenance& maintenance,
                           milliseconds maintenance_time, timestamp now) {
     const milliseconds age = now - maintenance.ordered_at;
@@ -58,13 +59,13 @@
     for (const std::string& name : wave.machines) {
         const auto found = machines.find(name);
         if (found == machines.end()) {
-            continue; // It is gone for good.
+            continue; // No longer in the fleet.
         }
         if (wave.pending.contains(name)) {
             continue;
         }
-        // Machines that are being moved, or have crashed, take nothing from the bound: while a turn ends they
-        // are a quarter of the fleet, and a wave that counted them stood still for five seconds.
+        // Machines that are being moved or have crashed don't count against the limit: at the end of a demand
+        // peak they are a quarter of the fleet, and counting them stalls the wave for five seconds.
         down += found->second.in_maintenance ? 1 : 0;
         if (!wave.confirmed.contains(name)) {
             remaining.push_back(&found->second);
@@ -74,9 +75,9 @@
     const std::size_t concurrency =
         std::min(wave.max_concurrent, wave_concurrency(wave, remaining.size(), maintenance_time, now));
     const std::size_t free = down < concurrency ? concurrency - down : 0;
-    // Those with long-running tasks take longest to empty, and emptying them takes no room from others. One
-    // that is half empty keeps its turn: were it to make way for each machine that is quiet for a moment, a
-    // busy one would be begun again and again and the wave would end late.
+    // Machines with long-running tasks take longest to evacuate, and evacuating them takes no capacity from
+    // other tasks. A machine that is being evacuated keeps its place: if each briefly idle machine went
+    // first, the evacuation of a busy machine would be restarted repeatedly and the wave would end late.
     std::ranges::stable_sort(remaining, [](const wave_machine* a, const wave_machine* b) {
         return std::tuple(a->kept_empty, a->evacuating, a->is_idle, a->hosts_long_running) >
                std::tuple(b->kept_empty, b->evacuating, b->is_idle, b->hosts_long_running);
--- a/jobs/placement.cpp
+++ b/jobs/placement.cpp
@@ -13,15 +13,15 @@
     return static_cast<std::size_t>(std::distance(first, last));
 }
 
-/// Whether the VM takes tasks of the step, were there room.
+/// Whether the VM accepts tasks of the step, regardless of its free capacity.
 bool accepts_step(const vm_state& vm, const step_spec& step, const task_id& task,
                   const placement_settings& settings, timestamp now) {
     if (!vm.listed || !vm.reachable || vm.cordoned || vm.info().draining || vm.capacity_refused_at_clock) {
         return false;
     }
     if (!vm.orphans().empty()) {
-        // They still hold room, and how much is not known: tasks started beside them would load a VM that
-        // doesn't check its capacity over it.
+        // Orphan runs use an unknown part of the capacity: further tasks could overload a VM that doesn't
+        // check its capacity.
         return false;
     }
     if (!vm.has_responded() || now - vm.last_response_at() > settings.max_response_age ||
@@ -43,12 +43,12 @@
     return accepts_step(vm, step, task, settings, now) && need.fits_in(vm.free_capacity());
 }
 
-/// Whether the queue's policy, if it has one, lets the VM take tasks just now.
+/// Whether the queue's policy, if it has one, currently allows tasks on the VM.
 bool is_allowed(const step_advice* advice, const std::string& incarnation, timestamp now) {
     return advice == nullptr || advice->find_ticket(incarnation, now) != nullptr;
 }
 
-/// Tasks of the step that the VM has room for.
+/// Number of tasks of the step that fit into the VM's free capacity.
 std::uint32_t count_fitting_tasks(const vm_state& vm, const step_spec& step, const task_id& task) {
     const resources need = reserved_resources(step);
     std::uint32_t max_tasks = step.count;
@@ -65,7 +65,7 @@
     return fitting;
 }
 
-/// Share of the VM's processor or memory that is taken, whichever is larger.
+/// Share of the VM's processor or memory in use with `need` added, whichever is larger.
 double utilization(const vm_state& vm, const resources& need) {
     const resources& all = vm.info().capacity;
     const double cpu = static_cast<double>(vm.used().cpu_millicores + need.cpu_millicores) /
--- a/jobs/placement.hpp
+++ b/jobs/placement.hpp
@@ -11,48 +11,51 @@
 
 using vm_table = std::map<std::string, vm_state, std::less<>>;
 
-/// What a run of the step takes from its VM's capacity. Tasks that live on leftover processor time count
-/// with their memory only.
+/// Capacity that a run of the step reserves on its VM. Tasks that use leftover processor time reserve no
+/// processor time.
 [[nodiscard]] resources reserved_resources(const step_spec& step);
 
-/// Limits of placement.
+/// Settings of placement.
 struct placement_settings {
-    /// A VM that was not heard of for longer gets no new runs: it may be dead. Above the longest wait of a
-    /// lease renewal (2 s) and its round trip.
+    /// A VM whose last response is older gets no new runs, since it may have failed. Longer than the longest
+    /// wait of a lease renewal (2 s) plus its round trip.
     milliseconds max_response_age = 2600ms;
 };
 
-/// Chooses the VM for one task: one that may take it, VMs on which the task failed last. VMs that host
-/// long-running tasks are filled first, then the fullest that has room: what runs is kept together, so that
-/// whole VMs stay idle and can follow the demand to other pools; a VM's loss also hits fewer jobs that way.
-/// Returns null when none has room.
-/// `advice`: where the queue's policy allows only some VMs, what is known of them; else null.
-/// `near_rack`: where the task would run faster; empty: anywhere.
+/// Chooses the VM for one task among those that can host it; VMs on which the task has failed are the last
+/// resort. VMs that host long-running tasks are filled first, then the VM with the highest utilization that
+/// has enough free capacity. Packing runs this way leaves whole VMs idle, so that they can be moved to other
+/// pools, and the loss of a VM affects fewer jobs. Returns null if no VM can host the task.
+/// `advice`: the policy service's answers if the queue's policy allows only some VMs, else null.
+/// `preferred_rack`: the rack where the task would run faster; empty for any.
 [[nodiscard]] vm_state* choose_vm(vm_table& vms, const job_state& job, const task_id& task,
                                   const placement_settings& settings, const step_advice* advice,
                                   const std::string& preferred_rack, timestamp now);
 
-/// The same for a suspected task: a VM without suspected tasks of other jobs if there is one, then the one
-/// whose end would harm least. `may_widen`: also one that no suspected task runs on yet.
+/// Chooses the VM for a suspect task: prefers VMs without suspect tasks of other jobs, then the VM whose loss
+/// would cause the least damage. `allow_new_vm`: whether VMs without suspect tasks are eligible. Parameters
+/// and result as for `choose_vm`.
 [[nodiscard]] vm_state* choose_vm_for_suspect(vm_table& vms, const job_state& job, const task_id& task,
                                               const placement_settings& settings, const step_advice* advice,
                                               const std::string& preferred_rack, bool allow_new_vm,
                                               timestamp now);
 
-/// Whether the VM could take the task were it empty but for its long-running tasks.
+/// Whether the VM could host the task once all its runs except long-running ones have ended.
 [[nodiscard]] bool can_host_after_short_runs(const vm_state& vm, const job_state& job, const task_id& task,
                                              const placement_settings& settings, const step_advice* advice,
                                              timestamp now);
 
-/// The rack for a gang that would be slowed down by a distance between its members: one with room for the
-/// whole step, if possible that of its data, else the one with least to spare, so that larger gangs still
-/// find theirs. Empty when no single rack has room; the gang is then spread, since late is worth more than
-/// never. `task`: any of the step.
+/// Chooses the rack for a gang that runs slower if its members are spread: a rack with free capacity for the
+/// whole step, preferably the one that holds its data, else the one with the least free capacity, so that
+/// larger gangs still find a rack. Returns an empty string if no single rack has enough free capacity; the
+/// gang is then spread over racks, since running slowly is better than not running. `task`: any task of the
+/// step.
 [[nodiscard]] std::string rack_for_gang(const vm_table& vms, const job_state& job, const task_id& task,
                                         const placement_settings& settings, const step_advice* advice,
                                         timestamp now);
 
-/// VMs that could take a task of the step but for the policy, those with most room first; at most `most`.
+/// Up to `max_count` VMs that can host a task of the step and need a policy query, those with the lowest
+/// utilization first.
 [[nodiscard]] std::vector<std::string> vms_to_query(const vm_table& vms, const job_state& job,
                                                     const task_id& task, const placement_settings& settings,
                                                     const step_advice& advice, std::size_t max_count,
--- a/jobs/vm.hpp
+++ b/jobs/vm.hpp
@@ -9,10 +9,10 @@
 
 namespace siskinpaddle::jobs {
 
-/// One life of a VM as it registered itself. A VM that restarts registers under a new `incarnation`.
+/// Registration of one incarnation of a VM. A VM that restarts registers under a new `incarnation`.
 struct vm_info {
     std::string incarnation;
-    std::string machine; ///< Stays the same over the VM's lives.
+    std::string machine; ///< Same for all incarnations of the VM.
     std::string pool;
     std::string address;
     std::uint16_t port = 0;
@@ -21,7 +21,7 @@
     std::string rack;
     resources capacity;
     bool draining = false;
-    std::int64_t remaining_ms = -1; ///< While draining: least time left; -1 if not told.
+    std::int64_t remaining_ms = -1; ///< While draining: minimum time left; -1 if not reported.
 
     bool operator==(const vm_info&) const = default;
 
@@ -35,25 +35,25 @@
 /// How a run ended, as its VM reports it.
 enum class run_end : std::uint8_t {
     done,
-    failed,            ///< By its own fault or its VM's.
-    stopped,           ///< On our order.
-    lease_expired,     ///< The VM's lease ran out.
+    failed,            ///< Caused by the task or by its VM.
+    stopped,           ///< Stopped by an order of the pool's owner.
+    lease_expired,     ///< The VM's lease expired.
     gang_member_ended, ///< Another member of its gang ended.
-    gang_incomplete    ///< It waited too long for the rest of its gang.
+    gang_incomplete    ///< Timed out waiting for the other members of its gang.
 };
 
-/// A run that a VM reports as going on.
+/// A run that a VM reports as active.
 struct running_report {
     task_id task;
     std::uint32_t attempt = 0;
     std::string checkpoint;
     std::int64_t percent = 0;
-    std::int64_t usage = 0; ///< Serving tasks: tail latency in ms. Others: millicores in use.
+    std::int64_t usage = 0; ///< Tail latency in ms for serving tasks, else millicores in use.
 };
 
 /// A run that a VM reports as ended.
 struct end_report {
-    std::int64_t sequence = 0; ///< Counts the ends of one life of a VM, from 1.
+    std::int64_t sequence = 0; ///< Counts the run ends of one incarnation, from 1.
     task_id task;
     std::uint32_t attempt = 0;
     run_end outcome = run_end::failed;
@@ -62,24 +62,24 @@
 
 /// A VM's answer to the renewal of its lease.
 struct vm_report {
-    std::int64_t clock_ms = 0; ///< The VM's own steady clock.
+    std::int64_t clock_ms = 0; ///< Reading of the VM's steady clock.
     std::vector<running_report> running;
     std::vector<end_report> ended;
 };
 
-/// How an order to a VM was answered.
+/// Result of an order to a VM.
 enum class order_outcome : std::uint8_t {
     accepted,
     refused_fenced,    ///< The VM has seen a higher fencing token.
-    refused_outdated,  ///< A run that is as new or newer was there.
+    refused_outdated,  ///< The VM has the same or a newer run of the task.
     refused_deadline,  ///< The order's deadline had passed when it arrived.
-    refused_capacity,  ///< The VM has no room for the task.
+    refused_capacity,  ///< The VM lacks free capacity for the task.
     refused_ticket,    ///< The ticket is missing or no longer valid.
-    refused_unhealthy, ///< The VM calls itself unhealthy; nothing was done.
-    refused_invalid,   ///< The VM doesn't understand the order.
-    wrong_incarnation, ///< Another life of a VM answers at the address.
+    refused_unhealthy, ///< The VM reports itself unhealthy; the order was not carried out.
+    refused_invalid,   ///< The VM can't interpret the order.
+    wrong_incarnation, ///< Another incarnation answers at the address.
     not_sent,          ///< No byte of the order left this process.
-    unknown            ///< No answer: it may have been, or may yet be, carried out.
+    unknown            ///< No answer: the order may have been, or may still be, carried out.
 };
 
 } // namespace siskinpaddle::jobs
--- a/jobs/vm_end.hpp
+++ b/jobs/vm_end.hpp
@@ -10,34 +10,33 @@
 
 namespace siskinpaddle::jobs {
 
-/// What shows that a life of a VM has ended.
+/// Evidence that an incarnation of a VM has ended.
 enum class vm_end_cause : std::uint8_t {
-    replaced,      ///< Another life answers at its address.
-    superseded,    ///< A later life of its machine answers.
-    lease_expired, ///< It was silent until the lease of all that ran there had run out; it may live and come
-                   ///< back.
-    ordered        ///< The platform has its machine down for upkeep, or in another pool.
+    replaced,      ///< Another incarnation answers at its address.
+    superseded,    ///< A later incarnation on its machine answers.
+    lease_expired, ///< Unresponsive until the leases of all its runs had expired; it may still be alive.
+    ordered        ///< The platform has taken its machine down for maintenance or moved it to another pool.
 };
 
-/// A run that its VM's end took with it.
+/// A run that ended with its VM.
 struct ended_run {
     task_id task;
     std::uint32_t attempt = 0;
     milliseconds age{0};    ///< From its start order to the VM's first missing answer.
-    bool confirmed = false; ///< The VM had reported it, or answered its start.
+    bool confirmed = false; ///< The VM had reported the run, or answered its start order.
 
     bool operator==(const ended_run&) const = default;
 };
 
-/// The end of a life of a VM, as its pool's owner sees it.
+/// The end of an incarnation of a VM, as detected by its pool's owner.
 struct vm_end {
     std::string vm;
     std::string machine;
     vm_end_cause cause = vm_end_cause::replaced;
-    bool had_responded = true;       ///< This owner had heard of it; else it may have ended at any time.
-    bool draining = false;           ///< It had said that it would leave.
-    bool isolated = false;           ///< It was kept for tasks of one job that are suspected of crashing VMs.
-    timestamp unresponsive_since{0}; ///< Its first missing answer.
+    bool had_responded = true;       ///< It had responded to this owner; else it may have ended at any time.
+    bool draining = false;           ///< It had reported that it was draining.
+    bool isolated = false;           ///< It was reserved for one job's tasks suspected of crashing VMs.
+    timestamp unresponsive_since{0}; ///< Time of its first missing answer.
     std::vector<ended_run> runs;
 };
 
--- a/jobs/vm_state.cpp
+++ b/jobs/vm_state.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// Failures in a row, without a success between, before a VM is set aside. One bad job fails once on each VM
-/// that tries it, so two in a row are ordinary.
+/// Consecutive failures, without a success in between, after which a VM is quarantined. A faulty job fails
+/// once on each VM that runs it, so two in a row are normal.
 constexpr int failures_to_quarantine = 3;
 constexpr milliseconds min_quarantine = 2s;
 constexpr milliseconds max_quarantine = 16s;
-/// Between the lapse on the VM's clock and the end of the last process there.
+/// Time from the lease's expiry on the VM's clock to the end of the last process there.
 constexpr milliseconds lease_expiry_margin = 150ms;
 
 } // namespace
@@ -24,7 +24,7 @@
 
 void vm_state::record_response(std::int64_t clock_ms, timestamp answered_at) {
     if (clock_ms < m_clock_ms) {
-        return; // Answers on different connections overtake each other.
+        return; // Answers on different connections may arrive out of order.
     }
     m_clock_ms = clock_ms;
     m_last_response_at = answered_at;
--- a/jobs/vm_state.hpp
+++ b/jobs/vm_state.hpp
@@ -10,18 +10,19 @@
 
 namespace siskinpaddle::jobs {
 
-/// A VM's steady clock may run this much slower than ours; the platform's stated bound.
+/// Minimum rate of a VM's steady clock relative to the local one, as stated by the platform.
 inline constexpr double min_vm_clock_rate = 0.98;
 
-/// A run that a VM reports although its job isn't known here: an earlier owner cancelled the job and stored
-/// that, or this one has forgotten it. What it uses is not known either.
+/// A run that a VM reports but whose job is unknown to this owner: a previous owner cancelled the job and
+/// stored the cancellation, or this owner has already removed the job. The run's resource use is unknown,
+/// too.
 struct orphan_run {
     task_id task;
     std::uint32_t attempt = 0;
-    timestamp stop_sent_at{0}; ///< 0: no stop was ordered yet.
+    timestamp stop_sent_at{0}; ///< 0 if no stop order was sent yet.
 };
 
-/// What an owner knows of one VM: its room, its lease, how far its ends were taken, how it behaves. Not
+/// State of one VM as tracked by its pool's owner: capacity, lease, reported run ends and failures. Not
 /// thread-safe.
 class vm_state {
   public:
@@ -30,24 +31,25 @@
 
     [[nodiscard]] const vm_info& info() const noexcept { return m_info; }
     void set_info(vm_info info);
-    /// The most that this life of the VM has had; its capacity may shrink and grow while it runs.
+    /// Largest processor capacity that this incarnation has had. The capacity may change while the VM runs.
     [[nodiscard]] std::int64_t max_millicores() const noexcept { return m_max_millicores; }
 
-    /// Takes a reading of the VM's clock. `answered_at` is when the answer reached us, so the VM's clock is
-    /// at least `clock_ms` then.
+    /// Records a response with a reading of the VM's clock. `answered_at` is when the response arrived; the
+    /// VM's clock is at least `clock_ms` at that time.
     void record_response(std::int64_t clock_ms, timestamp answered_at);
     [[nodiscard]] bool has_responded() const noexcept { return m_clock_ms >= 0; }
     [[nodiscard]] timestamp last_response_at() const noexcept { return m_last_response_at; }
-    /// A call to it got no answer.
+    /// Records a call to the VM without an answer.
     void record_missed_response(timestamp now) noexcept;
-    /// Its first missing answer since it was last heard; 0: none is missing.
+    /// Time of the first missing answer since the last response; 0 if none is missing.
     [[nodiscard]] timestamp unresponsive_since() const noexcept { return m_unresponsive_since; }
 
-    /// Deadline on the VM's clock, `lease` from now; 0 when its clock is not known yet.
+    /// Deadline on the VM's clock, `lease` after `now`; 0 if the VM's clock is not known yet.
     [[nodiscard]] std::int64_t lease_deadline(timestamp now, milliseconds lease) const;
-    /// Remembers a deadline that was sent: the VM may have taken it even without an answer.
+    /// Records a deadline that was sent; the VM may have accepted it even without an answer.
     void record_granted_deadline(std::int64_t deadline);
-    /// From when on all that we ever let run there has certainly ended, if the VM hears nothing more.
+    /// Time after which every run started there has ended for certain, provided that the VM receives nothing
+    /// more.
     [[nodiscard]] timestamp lease_expires_at() const;
 
     [[nodiscard]] bool has_run(const task_id& task) const { return m_tasks.contains(task); }
@@ -55,43 +57,44 @@
     void remove_task(const task_id& task, const resources& need, bool long_running);
     [[nodiscard]] bool hosts_long_running() const noexcept { return m_long_running_count > 0; }
     [[nodiscard]] const std::multiset<task_id>& tasks() const noexcept { return m_tasks; }
-    /// Whether suspected tasks of other jobs than this one run there.
+    /// Whether suspect tasks of jobs other than `job` run there.
     [[nodiscard]] bool has_other_suspects(const std::string& job) const {
         return !suspect_jobs.empty() && (suspect_jobs.size() > 1 || !suspect_jobs.contains(job));
     }
-    /// Nothing runs there, or may yet start, as far as is known.
+    /// Whether no run is known to be active there or able to become active.
     [[nodiscard]] bool has_no_runs() const noexcept { return m_tasks.empty() && m_orphans.empty(); }
-    /// Nothing runs there, and what has ended there is stored.
+    /// Whether the VM has no runs and the ends of all its runs are stored.
     [[nodiscard]] bool is_idle() const noexcept {
         return has_no_runs() && last_received_end <= last_stored_end;
     }
-    /// Takes over which runs of unknown jobs the VM reports; returns those that it had not reported before.
+    /// Replaces the runs of unknown jobs by those reported; returns the newly reported ones.
     std::vector<orphan_run> set_orphans(const std::vector<running_report>& reported);
     [[nodiscard]] const std::vector<orphan_run>& orphans() const noexcept { return m_orphans; }
     [[nodiscard]] std::vector<orphan_run>& orphans() noexcept { return m_orphans; }
     [[nodiscard]] resources free_capacity() const;
     [[nodiscard]] const resources& used() const noexcept { return m_used; }
-    /// What runs that don't end by themselves use.
+    /// Resources used by long-running tasks.
     [[nodiscard]] const resources& long_running_used() const noexcept { return m_long_running_used; }
 
-    /// Books an end of a run: repeated failures without a success set the VM aside for a while, longer each
-    /// time. Answers to VMs that fail all that they start while their health check stays good.
+    /// Records a successful run, which resets the count of consecutive failures.
     void record_success();
+    /// Records a failed run. Several consecutive failures quarantine the VM, for longer with each further
+    /// one. This protects against VMs that fail every run while their health check passes.
     void record_failure(timestamp now);
-    /// Sets the VM aside after a refusal that says that it is unhealthy.
+    /// Quarantines the VM until the given time, for example after it refused an order as unhealthy.
     void quarantine(timestamp until) { m_quarantined_until = std::max(m_quarantined_until, until); }
     [[nodiscard]] bool is_quarantined(timestamp now) const noexcept { return now < m_quarantined_until; }
     [[nodiscard]] int consecutive_failures() const noexcept { return m_consecutive_failures; }
 
     bool listed = true;                 ///< The platform lists it.
     bool reachable = true;              ///< Its last order was answered.
-    bool cordoned = false;              ///< No new runs: an upkeep or a move waits for it to be empty.
-    std::set<std::string> suspect_jobs; ///< Jobs whose suspected tasks run there, as of the last decision.
-    std::string isolated_for_job;       ///< The job whose tasks alone may start there; empty: any.
-    std::int64_t last_received_end = 0; ///< Ends up to here were taken in.
-    std::int64_t last_stored_end = 0;   ///< Ends up to here are stored, so the VM may forget them.
+    bool cordoned = false;              ///< No new runs: it is being emptied for maintenance or a move.
+    std::set<std::string> suspect_jobs; ///< Jobs whose suspect tasks run there, as of the last decision.
+    std::string isolated_for_job;       ///< The only job whose tasks may start there; empty for any job.
+    std::int64_t last_received_end = 0; ///< Run ends up to this number were received.
+    std::int64_t last_stored_end = 0;   ///< Run ends up to this number are stored, so the VM may drop them.
     std::optional<std::int64_t>
-        capacity_refused_at_clock; ///< It refused for want of room; wait for a newer report.
+        capacity_refused_at_clock; ///< Set on a capacity refusal until a newer report.
 
   private:
     vm_info m_info;
@@ -104,7 +107,7 @@
     std::vector<orphan_run> m_orphans;
     resources m_used;
     resources m_long_running_used;
-    int m_long_running_count = 0; ///< Runs that don't end by themselves.
+    int m_long_running_count = 0; ///< Number of long-running tasks.
     int m_consecutive_failures = 0;
     timestamp m_quarantined_until{0};
 };
--- a/jobs/work_gauge.cpp
+++ b/jobs/work_gauge.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-/// Weight of each earlier task against the next: about the last two hundred tasks count, a second or two of a
-/// busy pool.
+/// Factor by which the weight of earlier tasks decays with each new task: about the last two hundred tasks
+/// count, a second or two of a busy pool.
 constexpr double decay_factor = 0.995;
-/// Estimates count as right with the weight of this many milliseconds of tasks: ten tasks or so.
+/// Weight of the initial assumption that estimates are correct, in milliseconds of tasks: about ten tasks.
 constexpr double prior_weight_ms = 10'000;
-/// Beyond these it is not the estimates that are wrong but the VMs that are slow, or the tasks that fail
+/// Bounds of the time factor. Beyond them the cause is not wrong estimates but slow VMs, or tasks that fail
 /// early.
 constexpr double min_factor = 0.5;
 constexpr double max_factor = 2.5;
 
-/// Room that `need` takes, as a share of `all`, in millicores of `cpu`. Nothing where there is none at all.
+/// The share of `all` that `need` takes, in millicores of `cpu`; 0 if `all` is 0.
 std::int64_t scaled(std::int64_t need, std::int64_t all, std::int64_t cpu) {
     return all > 0 ? need * cpu / all : 0;
 }
--- a/jobs/work_gauge.hpp
+++ b/jobs/work_gauge.hpp
@@ -7,26 +7,28 @@
 
 namespace siskinpaddle::jobs {
 
-/// Measures work in the room that it takes on a pool's VMs and in the time that it really takes. Not
-/// thread-safe.
+/// Measures work by the share of a VM that it takes and by its observed duration. Not thread-safe.
 ///
-/// Answers two ways in which declared figures mislead admission and the demand for machines:
-/// - Tasks fill a VM by memory before its processor is full. Counted by processor alone such a VM looks half
-///   empty, its pool asks for no machines, and its queue stands still.
-/// - Estimates are wrong together, not only one by one: all tasks of a queue may take 1.4 times what was
-///   declared, so a turn of demand asks for too few machines for as long as it lasts.
+/// Corrects two errors that declared figures cause in admission and in the demand for machines:
+/// - Tasks can use up a VM's memory before its processor. Counted by processor alone, such a VM appears half
+///   empty, its pool requests no machines, and its queue stalls.
+/// - Estimates can be wrong for a whole queue, not only for single tasks: if all its tasks take 1.4 times the
+///   declared time, too few machines are requested throughout a demand peak.
 class work_gauge {
   public:
-    /// A VM of the pool has this capacity. Where they differ, the largest counts.
+    /// Records the capacity of a VM of the pool. If capacities differ, the largest is used.
     void record_vm_capacity(const resources& capacity) noexcept;
+    /// Capacity of the largest VM recorded; zero if none was recorded yet.
     [[nodiscard]] const resources& largest_vm_capacity() const noexcept { return m_largest_vm_capacity; }
 
-    /// Room that a need takes on a VM, as millicores of that VM: the share of whichever it takes most of.
+    /// The share of the largest VM that `need` takes, expressed in millicores of that VM. The resource with
+    /// the largest share decides.
     [[nodiscard]] std::int64_t equivalent_millicores(const resources& need) const noexcept;
 
-    /// A task of the queue ended as done after `took`, from its start to the word of its end.
+    /// Records a successful task of the queue. `took`: time from its start to the report of its end.
     void record_task(const std::string& queue, std::int64_t estimate_ms, milliseconds took);
-    /// How much longer than estimated the queue's tasks take together; 1 while little is known.
+    /// Ratio of observed to estimated time over the queue's tasks; close to 1 until enough tasks are
+    /// recorded.
     [[nodiscard]] double time_factor(const std::string& queue) const;
 
   private:
@@ -39,18 +41,18 @@
     std::map<std::string, time_totals> m_queues;
 };
 
-/// Work of so many tasks of a step, millicore-milliseconds.
+/// Work of `tasks` tasks of the step, millicore-milliseconds.
 [[nodiscard]] std::int64_t estimate_work(const step_spec& step, std::uint32_t tasks, const std::string& queue,
                                          const work_gauge& gauge);
-/// Work of a whole job, millicore-milliseconds. Long-running tasks count as none.
+/// Work of a whole job, millicore-milliseconds. Long-running tasks count as no work.
 [[nodiscard]] std::int64_t estimate_job_work(const job_spec& spec, const work_gauge& gauge);
 
 /// Work in tasks that have no run yet, millicore-milliseconds.
 struct waiting_work {
     std::int64_t all = 0;
-    std::int64_t runnable = 0; ///< The part of it whose earlier steps are done.
+    std::int64_t runnable = 0; ///< The part whose earlier steps are done.
 };
-/// What waits of one occurrence of the job.
+/// Waiting work of one occurrence of the job.
 [[nodiscard]] waiting_work estimate_waiting_work(const job_state& job, std::uint32_t occurrence,
                                                  const work_gauge& gauge);
 
