--- a/tests/jobs/balance_test.cpp
+++ b/tests/jobs/balance_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A fleet of VMs of 32 cores that carries out every move at once or after its time.
+/// A fleet of VMs of 32 cores. Moves are applied at once, or not at all.
 struct simulated_fleet {
     std::vector<balance_machine> machines;
     std::map<std::string, pool_demand> demands;
@@ -49,7 +49,7 @@
         return sum;
     }
 
-    /// The pool's owner reports `need` cores; so many VMs as that fills are busy.
+    /// Sets the demand that the pool's owner reports, in cores; as many VMs as it fills are busy.
     void set_need(const std::string& pool, std::int64_t cores) {
         pool_demand& demand = demands[pool];
         demand.need_millicores = cores * 1000;
@@ -78,7 +78,7 @@
         return result;
     }
 
-    /// Part of the pool's need wants machines of the kind.
+    /// Adds a need for machines of one kind, in cores.
     void add_kind_need(const std::string& pool, const std::string& kind, std::int64_t cores) {
         demands[pool].labels.push_back({kind, cores * 1000, cores * 1000});
     }
@@ -95,10 +95,10 @@
 
 } // namespace
 
-TEST_CASE("a pool whose turn begins gets the machines of one whose turn ends") {
-    // Recorded from a day of turns: dispatch had held 39 VMs with a third in use for four seconds, while
-    // pricing stood at one VM with eight seconds of work waiting; callers of quotes were turned away all that
-    // time.
+TEST_CASE("machines move from a pool whose demand peak ends to one whose peak begins") {
+    // Guards against a pool that holds idle machines through another pool's demand peak: dispatch held 39
+    // VMs, a third of them in use, for four seconds, while pricing refused jobs with one VM and eight seconds
+    // of waiting work.
     simulated_fleet b;
     b.add_pool("dispatch", 39);
     b.add_pool("pricing", 2);
@@ -111,26 +111,26 @@
     CHECK(b.count("dispatch") >= 12);
 }
 
-TEST_CASE("where all need more than there is, each gets the same share") {
+TEST_CASE("if the pools need more than is available, each gets the same share") {
     simulated_fleet b;
     b.add_pool("a", 20);
     b.add_pool("b", 4);
     b.set_need("a", 1280);
     b.set_need("b", 640);
     const balance_plan plan = b.plan();
-    // Of a's VMs all are busy: the least busy are to be emptied first.
+    // All of a's VMs are busy: some of them are to be evacuated first.
     CHECK(plan.moves.empty());
     CHECK(plan.vms_to_evacuate.size() >= 3);
     CHECK(plan.vms_to_evacuate.size() <= 5);
 }
 
-TEST_CASE("a plan tells how many machines no pool wants") {
+TEST_CASE("a plan reports how many machines no pool needs") {
     struct demand_case {
         std::int64_t cores_a = 0;
         std::int64_t cores_b = 0;
         std::size_t unwanted = 0;
     };
-    // Twelve machines of 32 cores. A pool wants two at least, and 1.15 times its need.
+    // Twelve machines of 32 cores. A pool needs at least two, and 1.15 times its need.
     for (const demand_case& item :
          {demand_case{0, 0, 8}, demand_case{160, 0, 4}, demand_case{160, 96, 2}, demand_case{320, 320, 0}}) {
         INFO("pools need ", item.cores_a, " and ", item.cores_b, " cores");
@@ -146,7 +146,7 @@
     }
 }
 
-TEST_CASE("machines that nobody needs wait in the spare pool, after a pause") {
+TEST_CASE("machines that no pool needs move to the spare pool after a delay") {
     simulated_fleet b;
     b.add_pool("a", 12);
     b.set_need("a", 64);
@@ -156,7 +156,7 @@
     CHECK(b.count("spare") == 9);
 }
 
-TEST_CASE("a pool keeps two VMs, and all that host long-running tasks, without any demand") {
+TEST_CASE("a pool without demand keeps two VMs and those that host long-running tasks") {
     simulated_fleet b;
     b.add_pool("a", 10);
     b.set_need("a", 0);
@@ -169,7 +169,7 @@
     CHECK(b.count("a") == 5);
 }
 
-TEST_CASE("machines that an upkeep wants, or that are on their way, are left alone") {
+TEST_CASE("reserved machines and machines being moved are not moved") {
     simulated_fleet b;
     b.add_pool("a", 4);
     b.add_pool("b", 2);
@@ -189,9 +189,9 @@
     CHECK(b.plan().moves.empty());
 }
 
-TEST_CASE("a day of turns is served with few moves") {
-    // Four pools in turn ask five times what they hold for ten seconds and a twentieth in between. Replayed
-    // second by second; what a pool needs beyond what it holds is work that its callers don't get.
+TEST_CASE("consecutive demand peaks are served with few moves") {
+    // Each of four pools in turn needs 800 cores for ten seconds and 16 cores otherwise. Simulated in steps
+    // of one second; need beyond the pool's capacity counts as missing.
     const std::vector<std::string> pools{"a", "b", "c", "d"};
     simulated_fleet b;
     for (const std::string& pool : pools) {
@@ -214,17 +214,16 @@
         }
         b.plan();
     }
-    // Without moves 480 of 800 cores are missing in each second of a turn: 57 % of all that is asked.
+    // Without moves 480 of 800 cores are missing in each second of a peak: 57 % of all requested cores.
     CHECK(missing * 100 / requested <= 10);
-    // Without moves 1600 VM-seconds are held.
+    // Without moves the pools hold 1600 VM-seconds.
     CHECK(held <= 1500);
     CHECK(b.moves <= 200);
 }
 
-TEST_CASE("a machine that is off holds no other machine of the spare pool back") {
-    // In the first seconds of a turn quotes wait for machines while two hundred of them stand in the spare
-    // pool. Machines that are off run no VM; the first one that was ordered away, or had its upkeep, was
-    // remembered as "the VM without a name", and all others looked like it.
+TEST_CASE("a machine that is off does not reserve other machines of the spare pool") {
+    // Guards against spare machines that can't be moved during a demand peak. Machines that are off run no
+    // VM: the empty VM name of one that is being moved or maintained matches all the others.
     evacuation_list list;
     list.add("spare", "");
     list.add("quotes", "vm-1");
@@ -238,18 +237,18 @@
 }
 
 TEST_CASE("a pool gets machines with the labels that its tasks require") {
-    // A bill forecast that needs a machine with accelerators is accepted and never done. Its pool held as
-    // many cores as it needed, all of the other kind, and asked for none; the right machines stood spare.
+    // Guards against an accepted job that needs accelerators and never runs: its pool holds enough cores, all
+    // on machines of another kind, and requests no machines although suitable ones are spare.
     struct label_case {
         const char* what = "";
-        const char* holder = ""; ///< Pool that has the machines of the kind.
-        std::int64_t cores = 0;  ///< What the pool's tasks need of them.
+        const char* holder = ""; ///< Pool that holds the machines of the kind.
+        std::int64_t cores = 0;  ///< Need of the pool's tasks for the kind.
         std::size_t expected = 0;
     };
     for (const label_case& item :
-         {label_case{"spare ones", "spare", 40, 2},
-          label_case{"of a pool that does not need them", "idle", 40, 2},
-          label_case{"none is needed", "spare", 0, 0}, label_case{"more than there are", "spare", 400, 3}}) {
+         {label_case{"in the spare pool", "spare", 40, 2},
+          label_case{"in a pool without need for them", "idle", 40, 2},
+          label_case{"none needed", "spare", 0, 0}, label_case{"more needed than exist", "spare", 400, 3}}) {
         INFO(item.what);
         simulated_fleet b;
         b.add_pool("forecasts", 4);
@@ -268,7 +267,7 @@
     }
 }
 
-TEST_CASE("machines with a label that is still asked for leave last") {
+TEST_CASE("machines with a label still in demand are released last") {
     simulated_fleet b;
     b.add_pool("a", 4);
     b.add_machine("a", "g-0", "gpu");
@@ -281,15 +280,16 @@
 }
 
 TEST_CASE("machines of different sizes count by their cores") {
-    // Every third seat booking is late all day. Half of the fleet's machines have half the cores of the
-    // largest; a pool asked for as many as it would need of the largest, and got half of what it needed.
+    // Guards against pools with half the capacity that they need: if half of the fleet's machines have half
+    // the cores of the largest, counting machines by the largest size requests too few.
     struct size_case {
         const char* what = "";
         std::int64_t held = 32;  ///< Cores of the pool's own machines.
-        std::int64_t spare = 32; ///< Cores of the spare ones.
+        std::int64_t spare = 32; ///< Cores of the spare machines.
     };
-    for (const size_case& item : {size_case{"alike", 32, 32}, size_case{"the spare ones are smaller", 32, 16},
-                                  size_case{"the pool's own are smaller", 16, 32}}) {
+    for (const size_case& item :
+         {size_case{"same size", 32, 32}, size_case{"spare machines are smaller", 32, 16},
+          size_case{"the pool's machines are smaller", 16, 32}}) {
         INFO(item.what);
         simulated_fleet b;
         b.add_pool("seats", 4);
@@ -307,16 +307,16 @@
     }
 }
 
-TEST_CASE("accepted work that is late gets the machines that nobody needs, and none that somebody does") {
-    // A burst leaves ninety accepted jobs behind that are late. Their pool asked for nothing more and gave
-    // its machines away, so these were never done, while a third of the fleet stood idle.
+TEST_CASE("late work gets only machines that no pool needs") {
+    // Guards against accepted jobs that never run: after a burst, ninety late jobs added nothing to their
+    // pool's demand, so it released its machines while a third of the fleet was idle.
     struct demand_case {
         const char* what = "";
         std::int64_t other_need = 0; ///< Cores.
         std::size_t expected = 0;    ///< VMs of the pool with late work.
     };
     for (const demand_case& item : {demand_case{"the other pool needs little", 64, 13},
-                                    demand_case{"the other pool needs nearly all", 32 * 15, 2}}) {
+                                    demand_case{"the other pool needs nearly all machines", 32 * 15, 2}}) {
         INFO(item.what);
         simulated_fleet b;
         b.add_pool("late", 2);
--- a/tests/jobs/capacity_test.cpp
+++ b/tests/jobs/capacity_test.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::int64_t cores = 4;
 
-/// A VM of four cores on which four tasks of one core have been started.
+/// A VM of four cores on which four tasks of one core run.
 struct full_vm {
     scheduler_fixture bench;
     std::vector<start_order> runs;
@@ -22,7 +22,7 @@
         bench.pool().add_or_update_vm(scheduler_fixture::info("v1", present));
     }
 
-    /// So many of the runs have ended, the others go on.
+    /// Reports the first `ended` runs as done and the others as active; returns the number of new starts.
     std::size_t count_starts_after(std::size_t ended) {
         std::vector<running_report> alive;
         std::vector<end_report> ends;
@@ -44,20 +44,20 @@
 
 } // namespace
 
-// Guards against starts on a VM whose capacity has shrunk below what runs there, and against stops of what
-// may stay.
-TEST_CASE("starts go by the capacity that a VM has now") {
+// Guards against starts on a VM whose capacity has shrunk below what its runs use, and against stopping those
+// runs.
+TEST_CASE("starts use the present capacity of a VM") {
     struct row {
         std::string name;
         std::int64_t present = cores;
         std::size_t ended = 0;
         std::size_t starts = 0;
     };
-    const std::array rows{row{"as before", 4, 1, 1},
-                          row{"shrunk to what runs", 3, 1, 0},
-                          row{"shrunk below what runs", 1, 2, 0},
-                          row{"what runs has ended", 2, 3, 1},
-                          row{"shrunk to nothing", 0, 4, 0},
+    const std::array rows{row{"unchanged", 4, 1, 1},
+                          row{"shrunk to the capacity in use", 3, 1, 0},
+                          row{"shrunk below the capacity in use", 1, 2, 0},
+                          row{"shrunk, with most runs ended", 2, 3, 1},
+                          row{"shrunk to zero", 0, 4, 0},
                           row{"grown", 6, 0, 2}};
     for (const row& item : rows) {
         INFO(item.name);
@@ -68,7 +68,7 @@
     }
 }
 
-TEST_CASE("what is starting or being stopped counts when a VM shrinks") {
+TEST_CASE("runs being started or stopped count against a shrunk capacity") {
     scheduler_fixture b;
     b.add_vm("v1", cores);
     b.add_job("starting", {scheduler_fixture::step(2)});
@@ -85,7 +85,7 @@
     CHECK(b.decide().starts.size() == 1);
 }
 
-TEST_CASE("a gang waits for room that has shrunk away") {
+TEST_CASE("a gang waits while the VMs have too little capacity for it") {
     scheduler_fixture b;
     b.add_vm("v1", cores);
     b.add_vm("v2", cores);
@@ -98,7 +98,7 @@
     CHECK(b.decide().starts.size() == 6);
 }
 
-TEST_CASE("admission and the need for VMs go by the capacity that VMs have now") {
+TEST_CASE("admission and demand use the present capacity of VMs") {
     scheduler_fixture b;
     b.add_vm("v1", 32);
     b.add_vm("v2", 32);
@@ -115,8 +115,8 @@
     CHECK(b.pool().demand(b.now()).need_millicores == 4 * need);
 }
 
-// Guards against VMs that start whatever they are told to and are filled by a capacity of long ago.
-TEST_CASE("nothing starts while it isn't known how much room VMs have") {
+// Guards against overloading VMs that don't check their capacity when the owner's data on it is outdated.
+TEST_CASE("nothing starts while the capacity of VMs is unknown") {
     scheduler_fixture b;
     b.add_vm("v1", cores);
     b.add_job("j", {scheduler_fixture::step(1)});
--- a/tests/jobs/demand_peak_replay.hpp
+++ b/tests/jobs/demand_peak_replay.hpp
@@ -8,16 +8,16 @@
 
 namespace siskinpaddle::tests {
 
-/// Replays a turn of demand on a pool's scheduler in steps of 100 ms: callers hand in quotes of eight tasks
-/// of one second, the pool judges each, and its VMs of 32 cores run what it starts.
+/// Replays a demand peak on a pool's scheduler in steps of 100 ms: clients submit jobs of eight tasks of one
+/// second, the scheduler accepts or refuses each, and VMs of 32 cores run the started tasks.
 class demand_peak_replay {
   public:
-    /// How the callers' jobs ended.
+    /// Counts of submitted jobs by result.
     struct result {
         int submitted = 0;
-        int in_time = 0;  ///< Within 1.6 times their second of work, and 600 ms.
-        int late = 0;     ///< Within three times that: still of some use.
-        int too_late = 0; ///< Later, or never.
+        int in_time = 0;  ///< Done within 1.6 times their one second of work plus 600 ms.
+        int late = 0;     ///< Done within three times that: still useful.
+        int too_late = 0; ///< Done later, or never.
     };
 
     demand_peak_replay() {
@@ -32,7 +32,7 @@
         m_vms.push_back(name);
     }
 
-    /// Passes a step in which so many jobs are handed in.
+    /// Advances by one step in which `jobs` jobs are submitted.
     void advance(int jobs) {
         m_bench.advance_clock(100ms);
         for (int i = 0; i < jobs; ++i) {
@@ -48,7 +48,7 @@
         record_completed();
     }
 
-    /// What came of the jobs so far; those that are accepted and not done count as useless.
+    /// Results so far; accepted jobs that are not done count as too late.
     [[nodiscard]] result results() const {
         result present = m_result;
         present.too_late += static_cast<int>(m_accepted.size());
@@ -102,9 +102,9 @@
 
     scheduler_fixture m_bench;
     std::vector<std::string> m_vms;
-    std::map<std::string, timestamp> m_accepted; ///< Not done yet: when each was accepted.
+    std::map<std::string, timestamp> m_accepted; ///< Jobs not done yet -> when accepted.
     std::vector<std::pair<timestamp, start_order>> m_running;
-    std::map<std::string, std::int64_t> m_sequences; ///< VM -> number of its latest end.
+    std::map<std::string, std::int64_t> m_sequences; ///< VM -> sequence number of its latest run end.
     result m_result;
     int m_refused = 0;
 };
--- a/tests/jobs/due_times_test.cpp
+++ b/tests/jobs/due_times_test.cpp
@@ -18,10 +18,9 @@
 
 } // namespace
 
-TEST_CASE("occurrences that are not due yet keep nobody out") {
-    // A passenger's quote is refused although the pool idles. A settlement that runs every ten seconds was
-    // handed in a moment before; all its six occurrences counted as work that waits, most of them due in half
-    // a minute, so every quote seemed to come too late.
+TEST_CASE("occurrences that are not due yet don't cause refusals") {
+    // Guards against refusals by an idle pool. If all six occurrences of a job that runs every ten seconds
+    // count as waiting work at once, although most are due half a minute later, every new job seems too late.
     scheduler_fixture b;
     b.add_vm("v1");
     const job_record nightly =
@@ -35,14 +34,15 @@
 
     b.advance_clock(10s);
     b.report("v1", {});
-    CHECK(b.start_all().size() == 32); // The first occurrence, as far as there is room.
+    CHECK(b.start_all().size() == 32); // The first occurrence, as far as capacity allows.
     CHECK(b.pool().load().waiting_work == 32LL * 1000 * 2000);
     CHECK_FALSE(b.pool().check_admission(quote).accepted);
 }
 
 TEST_CASE("an occurrence's objective counts from its due time") {
-    // Each later run of a scheduled report ends late. Its objective counted from when the job was handed in,
-    // so from the second occurrence on it was long past, and the run stood behind all that came in between.
+    // Guards against late occurrences of scheduled jobs. If the objective counts from the job's submission,
+    // it has passed when the second occurrence is due, so that occurrence ranks behind all jobs submitted in
+    // between.
     scheduler_fixture b;
     b.add_vm("v1", 1);
     b.pool().add_job(timed_record(b, "report", {scheduler_fixture::step(1)}, 2, 0s, 60s), b.now());
@@ -57,9 +57,9 @@
     CHECK(second[0].task == task_id{"report", 1, 0, 0});
 }
 
-TEST_CASE("machines are asked for before an occurrence is due") {
-    // The morning's reports start two seconds late each day, since the pool asks for machines only when they
-    // are due, and machines take that long to come.
+TEST_CASE("machines are requested before an occurrence is due") {
+    // Guards against scheduled jobs that start two seconds late: machines take that long to arrive, so
+    // requesting them when the occurrence is due is too late.
     scheduler_fixture b;
     b.add_vm("v1");
     b.pool().add_job(timed_record(b, "report", {scheduler_fixture::step(96)}, 3, 5s, 60s), b.now());
--- a/tests/jobs/maintenance_test.cpp
+++ b/tests/jobs/maintenance_test.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-TEST_CASE("a wave takes idle machines first and never more at once than it may") {
+TEST_CASE("a wave orders idle machines first and at most its limit at once") {
     wave_fixture b(2);
     b.add_machine("busy", false, "v0");
     for (const char* name : {"m1", "m2", "m3"}) {
@@ -51,10 +51,9 @@
     CHECK(b.step().to_maintain == std::vector<std::string>{"m3"});
 }
 
-TEST_CASE("an order without an answer is given again and does not count as done") {
-    // An operator reads that a wave is completed, and eight machines of it never had their upkeep: the
-    // platform did not carry out orders that it did not answer either, and the passing of time was taken for
-    // their end.
+TEST_CASE("an unanswered order is sent again and does not count as done") {
+    // Guards against a wave reported as completed although eight of its machines had no maintenance: the
+    // platform did not carry out the orders that it did not answer, and elapsed time was taken as completion.
     wave_fixture b(1);
     b.add_machine("m", true, "v");
     CHECK(b.step().to_maintain.size() == 1);
@@ -65,9 +64,9 @@
     CHECK_FALSE(later.completed);
 }
 
-TEST_CASE("a wave over machines that are off ends") {
-    // A wave is never told to be completed. Machines of the spare pool run no VM before or after their
-    // upkeep, and its end was only seen by another VM.
+TEST_CASE("a wave with machines that are off completes") {
+    // Guards against a wave that never completes: machines of the spare pool run no VM before or after their
+    // maintenance, so a new VM can't show that it is finished.
     wave_fixture b(1);
     b.add_machine("m", true, "");
     b.record_order("m", true);
@@ -75,7 +74,7 @@
     CHECK(b.step(5s).completed);
 }
 
-TEST_CASE("machines that an earlier owner took down count against the bound") {
+TEST_CASE("machines taken down by a previous owner count against the limit") {
     wave_fixture b(1);
     b.add_machine("down", false, "");
     b.machines["down"].is_up = false;
@@ -87,16 +86,16 @@
     CHECK(b.step().to_maintain == std::vector<std::string>{"m"});
 }
 
-TEST_CASE("a machine that is gone for good does not keep a wave open") {
+TEST_CASE("a machine removed from the fleet does not keep a wave from completing") {
     wave_fixture b(1);
     b.add_machine("m", true, "v");
     b.machines.clear();
     CHECK(b.step().completed);
 }
 
-TEST_CASE("a machine that is being emptied keeps its turn") {
-    // A wave ends seven seconds late. Its last machine was busy; whenever another one was quiet for a moment,
-    // that one was emptied instead and the busy one went back to work half empty.
+TEST_CASE("a machine that is being evacuated keeps its place") {
+    // Guards against a wave that ends seven seconds late: whenever another machine was briefly idle, it was
+    // evacuated instead of the last, busy one, which then got new runs.
     wave_fixture b(1);
     b.add_machine("quiet", false, "v1");
     b.add_machine("busy", false, "v2");
@@ -108,9 +107,9 @@
     CHECK(std::ranges::find(step.to_evacuate, "busy") != step.to_evacuate.end());
 }
 
-TEST_CASE("a wave takes no more machines at a time than its end asks for") {
-    // In a turn's first seconds callers are turned away: a wave of 190 machines may take 79 at once, takes
-    // them, and is through in a third of its time.
+TEST_CASE("a wave takes only as many machines at a time as its deadline requires") {
+    // Guards against refusals in the first seconds of a demand peak: a wave of 190 machines that takes the
+    // allowed 79 at once needs only a third of its time.
     struct concurrency_case {
         const char* what = "";
         std::optional<milliseconds> due_in;
@@ -118,9 +117,9 @@
         std::size_t concurrency = 0;
     };
     for (const concurrency_case& item :
-         {concurrency_case{"at its begin", 27s, 190, 29}, concurrency_case{"a few are left", 17s, 3, 1},
-          concurrency_case{"it is behind", 10s, 190, 79}, concurrency_case{"it is late", 2s, 5, 79},
-          concurrency_case{"its begin is not known", std::nullopt, 190, 79}}) {
+         {concurrency_case{"at its start", 27s, 190, 29}, concurrency_case{"few machines remain", 17s, 3, 1},
+          concurrency_case{"behind schedule", 10s, 190, 79}, concurrency_case{"past its reserve", 2s, 5, 79},
+          concurrency_case{"start time not known", std::nullopt, 190, 79}}) {
         INFO(item.what);
         wave_state wave;
         wave.max_concurrent = 79;
@@ -131,9 +130,9 @@
     }
 }
 
-TEST_CASE("machines with long-running tasks are emptied before those that are only busy") {
-    // A wave ends late by its last machine: its tasks leave one by one under their disruption budget, and it
-    // was begun last.
+TEST_CASE("machines with long-running tasks are evacuated before other busy machines") {
+    // Guards against a wave that ends late because the machine whose tasks leave one at a time under a
+    // disruption budget is evacuated last.
     wave_fixture b(1);
     b.add_machine("busy", false, "v1");
     b.add_machine("also-busy", false, "v2");
@@ -142,9 +141,9 @@
     CHECK(b.step().to_evacuate.front() == "host");
 }
 
-TEST_CASE("machines that are moved or have crashed don't hold a wave up") {
-    // A wave stands still for five seconds and ends late. A turn of demand ends, its machines go back to the
-    // spare pool, and each that was on its way counted as one that is down for its upkeep.
+TEST_CASE("machines that are being moved or have crashed don't delay a wave") {
+    // Guards against a wave that stalls for five seconds: at the end of a demand peak machines return to the
+    // spare pool, and counting each as down for maintenance exhausts the wave's limit.
     wave_fixture b(2);
     for (const char* name : {"moved", "crashed"}) {
         b.add_machine(name, false, "");
--- a/tests/jobs/order_test.cpp
+++ b/tests/jobs/order_test.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("a job is accepted if it can end within its objective behind the work that waits") {
+TEST_CASE("a job is accepted if it can end within its objective after the waiting work") {
     // Objective of a job of one second: 1.6 s + 0.6 s, so 1.2 s may be spent waiting.
     struct admission_case {
         const char* what = "";
@@ -37,8 +37,8 @@
          {admission_case{"nothing waits", load(0, 64), true},
           admission_case{"one second of work waits", load(64, 64), true},
           admission_case{"three seconds of work wait", load(192, 64), false},
-          admission_case{"the same, with twice the machines on their way", load(192, 64, 128), true},
-          admission_case{"no VM takes work", load(0, 0), false}}) {
+          admission_case{"the same, with twice the capacity arriving", load(192, 64, 128), true},
+          admission_case{"no usable VM", load(0, 0), false}}) {
         INFO(item.what);
         const admission_verdict verdict = admit(job, quote_queue(), 1000, item.load);
         CHECK(verdict.accepted == item.accepted);
@@ -52,7 +52,7 @@
     CHECK(admit(record.spec, quote_queue(), 0, load(1000, 64)).accepted);
 }
 
-TEST_CASE("jobs that can still be in time go before those that are late") {
+TEST_CASE("jobs that can still end in time rank before late jobs") {
     const queue_settings queue = quote_queue();
     const job_state early(scheduler_fixture::record("a", {scheduler_fixture::step(1)}).spec, timestamp(0));
     const job_state late(scheduler_fixture::record("b", {scheduler_fixture::step(1)}).spec, timestamp(2000));
@@ -63,26 +63,25 @@
     CHECK(rank_of(early, queue, early.accepted_at(), timestamp(7000)).group == 3);
 }
 
-TEST_CASE("in a turn of five times the room, what is accepted ends in time") {
-    // Recorded from a day of turns: quotes of eight tasks of one second, for ten seconds at five times what
-    // the pool's 64 cores hold. First come, first served: after two seconds every quote ends late, and the
-    // callers have left.
+TEST_CASE("accepted jobs end in time during a demand peak of five times the capacity") {
+    // Guards against first-come, first-served order in a peak of ten seconds at five times the capacity of 64
+    // cores: with jobs of eight tasks of one second, every job would end late after two seconds.
     demand_peak_replay replay;
     for (int step = 0; step < 180; ++step) {
-        replay.advance(step < 100 ? 4 : 0); // Forty jobs of eight core-seconds a second.
+        replay.advance(step < 100 ? 4 : 0); // Forty jobs of eight core-seconds per second.
     }
     const demand_peak_replay::result ended = replay.results();
-    MESSAGE("asked ", ended.submitted, ", in time ", ended.in_time, ", late ", ended.late);
-    // The pool can finish eight jobs a second: 80 in the turn, and what it had taken when it ended.
+    MESSAGE("submitted ", ended.submitted, ", in time ", ended.in_time, ", late ", ended.late);
+    // The pool can finish eight jobs per second: 80 during the peak, plus those waiting when it ends.
     CHECK(ended.in_time >= 65);
     CHECK(ended.late <= ended.in_time / 3);
     CHECK(ended.too_late == 0);
 }
 
-TEST_CASE("in a turn's first seconds nobody is turned away for whom machines can be had") {
-    // Callers are told "overloaded" and come to nothing while two dozen machines stand idle: a turn begins at
-    // three times the room of a pool that holds two VMs, and for the two seconds that its machines take to
-    // come it judged by the VMs that it had. A refusal means never here, since its caller has no time left.
+TEST_CASE("at the start of a demand peak no job is refused if machines for it are obtainable") {
+    // Guards against refusals while two dozen machines are idle: a peak begins at three times the capacity of
+    // a pool with two VMs, and further machines take two seconds to arrive. Admission must count them, since
+    // a refused client has no time to retry.
     constexpr int machines_arrive_at = 25; // In steps of 100 ms.
     constexpr int peak_ends_at = 60;
     struct outcome {
@@ -99,7 +98,8 @@
                 }
                 replay.bench().pool().set_expected_vms(0, obtainable - std::min<std::size_t>(obtainable, 6));
             }
-            replay.advance(step < peak_ends_at ? 2 + step % 2 : 0); // 25 jobs of eight core-seconds a second.
+            replay.advance(step < peak_ends_at ? 2 + step % 2
+                                               : 0); // 25 jobs of eight core-seconds per second.
         }
         return outcome{replay.results(), replay.refused()};
     };
@@ -113,8 +113,8 @@
     CHECK(with.ended.in_time >= without.ended.in_time);
 }
 
-TEST_CASE("a job that will be late is accepted only if machines that nobody wants let it be of use") {
-    // Objective of a job of one second: 2.2 s; of some use up to three times that.
+TEST_CASE("a job that will be late is accepted only if unneeded machines let it end while still useful") {
+    // Objective of a job of one second: 2.2 s; its result is useful up to three times that.
     struct admission_case {
         const char* what = "";
         std::int64_t waiting_core_s = 0;
@@ -123,11 +123,11 @@
     };
     const job_spec job = scheduler_fixture::record("j", {scheduler_fixture::step(8)}).spec;
     for (const admission_case& item :
-         {admission_case{"none can be had", 192, 0, false},
-          admission_case{"as many again can be had", 192, 64, true},
-          admission_case{"a few can be had, too few for all that waits", 640, 16, false},
-          admission_case{"many can be had, after which there is no more wait", 640, 512, true},
-          admission_case{"it would end in time anyway", 64, 0, true}}) {
+         {admission_case{"no machines obtainable", 192, 0, false},
+          admission_case{"as much capacity again obtainable", 192, 64, true},
+          admission_case{"too few machines obtainable for the waiting work", 640, 16, false},
+          admission_case{"enough machines obtainable to end all waiting", 640, 512, true},
+          admission_case{"it ends in time without further machines", 64, 0, true}}) {
         INFO(item.what);
         pool_load present = load(item.waiting_core_s, 64);
         present.obtainable_millicores = item.obtainable_cores * 1000;
@@ -135,21 +135,22 @@
     }
 }
 
-TEST_CASE("work that is late keeps a share of the room from new jobs") {
-    // Callers are told that their jobs are accepted and never hear of them again: a burst leaves jobs that
-    // are late, and each new job that could still be in time goes before them, for the rest of the day.
+TEST_CASE("late work reserves a share of the capacity against new jobs") {
+    // Guards against accepted jobs that never run: after a burst, each new job that can still end in time
+    // ranks before the late jobs.
     const job_spec job = scheduler_fixture::record("j", {scheduler_fixture::step(8)}).spec;
-    pool_load present = load(70, 64); // With all of the room 1.1 s of waiting, of 1.2 s that are allowed.
+    pool_load present = load(70, 64); // With all capacity, 1.1 s of waiting out of 1.2 s allowed.
     CHECK(admit(job, quote_queue(), 1000, present).accepted);
     present.late_work = 1'000'000'000;
     CHECK(!admit(job, quote_queue(), 1000, present).accepted);
-    present.waiting_work = 48 * 1'000'000; // One second for three quarters of the room.
+    present.waiting_work = 48 * 1'000'000; // One second for three quarters of the capacity.
     CHECK(admit(job, quote_queue(), 1000, present).accepted);
 }
 
-TEST_CASE("a turn that rises over seconds has its machines asked for ahead") {
-    // Quotes of the first seconds of each turn were late: the rate rises from nothing to 160 jobs a second in
-    // four seconds, machines take two to come, and what was asked for was the rate of the last 1.5 s.
+TEST_CASE("machines are requested ahead for a demand peak that rises over seconds") {
+    // Guards against late jobs in the first seconds of a peak: the rate rises from nothing to 160 jobs per
+    // second in four seconds and machines take two seconds to arrive, so requesting them by the rate of the
+    // last 1.5 s is too late.
     demand_meter meter;
     int number = 0;
     timestamp now(10'000);
@@ -165,9 +166,9 @@
         meter.update(0, 0, now);
         need[tenth] = static_cast<double>(meter.current_need()) / 1000;
     }
-    // Two seconds ahead: with the plain rate 0.3 of it at 30 tenths.
+    // The need two seconds ahead. Without extrapolation it would be 0.3 of that at 30 tenths.
     CHECK(need[30] >= 0.75 * 30 * rate_at(50));
     CHECK(need[30] <= 1.3 * 30 * rate_at(50));
-    CHECK(need[9] <= 1.5 * 30 * rate_at(9)); // Level before the turn,
-    CHECK(need[90] <= 1.1 * 30 * 160);       // and at its height.
+    CHECK(need[9] <= 1.5 * 30 * rate_at(9)); // Constant before the peak,
+    CHECK(need[90] <= 1.1 * 30 * 160);       // and at its maximum.
 }
--- a/tests/jobs/pace_test.cpp
+++ b/tests/jobs/pace_test.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/// One VM with a serving task and a neighbour that lives on leftover processor time.
+/// One VM with a serving task and a task that uses leftover processor time.
 struct shared_vm_fixture {
     scheduler_fixture b;
     start_order serving;
@@ -25,7 +25,8 @@
         leftover = b.start_all().at(0);
     }
 
-    /// Reports the serving task's tail and returns the pace that is ordered for the neighbour; -1: none.
+    /// Reports the serving task's tail latency; returns the pace ordered for the leftover task, or -1 if
+    /// none.
     int report_tail(std::int64_t ms) {
         b.advance_clock(400ms);
         running_report report = scheduler_fixture::running(serving);
@@ -38,8 +39,9 @@
 
 } // namespace
 
-TEST_CASE("leftover work is slowed before the serving task beside it misses its target, and raised slowly") {
-    // A portal's answers take twice their target for as long as a night batch runs beside it.
+TEST_CASE(
+    "leftover work is slowed before a serving task on its VM misses its target, and sped up gradually") {
+    // Guards against a serving task that takes twice its target latency while a batch runs on the same VM.
     shared_vm_fixture n;
     CHECK(n.report_tail(20) == -1);
     CHECK(n.report_tail(80) == 50);
@@ -50,7 +52,7 @@
     CHECK(n.report_tail(20) == 40);
 }
 
-TEST_CASE("leftover work takes no capacity of its VM") {
+TEST_CASE("leftover work reserves no processor capacity of its VM") {
     shared_vm_fixture n;
     CHECK(n.b.pool().vms().at("v1").used().cpu_millicores == 1000);
 }
--- a/tests/jobs/queue_count_test.cpp
+++ b/tests/jobs/queue_count_test.cpp
@@ -5,10 +5,10 @@
 using namespace siskinpaddle;
 using namespace siskinpaddle::jobs;
 
-TEST_CASE("a queue's count is whole or not told") {
-    // An operator sees "29 jobs wait" and adds no machines, while 117 have waited for five seconds. The
-    // pool's owner told what it had taken, in the peak of a turn or just after it had become the owner, and
-    // not what it knew to lie in the inbox, or could not know.
+TEST_CASE("a queue's count is complete or not reported") {
+    // Guards against a count that is too low: 29 is reported while 117 jobs wait. During a demand peak or
+    // after a takeover, jobs can be in the inbox that the scheduler does not have yet, or that the owner
+    // can't know of.
     struct count_case {
         const char* what = "";
         queue_count_inputs known;
@@ -16,16 +16,14 @@
     };
     for (const count_case& item : {
              count_case{"nothing waits", {.is_confirmed_owner = true}, 0},
-             count_case{"jobs lie in the inbox",
-                        {.in_scheduler = 29, .in_inbox = 88, .is_confirmed_owner = true},
-                        117},
-             count_case{"a write has no answer",
-                        {.in_scheduler = 1, .unconfirmed = 2, .is_confirmed_owner = true},
-                        3},
-             count_case{"the copy of the inbox is as old as may be",
+             count_case{
+                 "jobs in the inbox", {.in_scheduler = 29, .in_inbox = 88, .is_confirmed_owner = true}, 117},
+             count_case{
+                 "an unanswered write", {.in_scheduler = 1, .unconfirmed = 2, .is_confirmed_owner = true}, 3},
+             count_case{"the copy of the inbox has the maximum age",
                         {.in_scheduler = 1, .inbox_age = max_count_age, .is_confirmed_owner = true},
                         1},
-             count_case{"the copy of the inbox is older",
+             count_case{"the copy of the inbox is too old",
                         {.in_scheduler = 29, .inbox_age = max_count_age + 1ms, .is_confirmed_owner = true},
                         std::nullopt},
              count_case{"another node may own the pool",
--- a/tests/jobs/start_window_test.cpp
+++ b/tests/jobs/start_window_test.cpp
@@ -8,7 +8,7 @@
 constexpr std::size_t many_vms = 20;
 constexpr std::uint32_t many_tasks = 640;
 
-/// Twenty VMs of 32 cores with room for all tasks of one job.
+/// Twenty VMs of 32 cores with free capacity for all tasks of one job.
 scheduler_fixture pool_with_free_capacity() {
     scheduler_fixture b;
     for (std::size_t i = 0; i < many_vms; ++i) {
@@ -25,11 +25,10 @@
 
 } // namespace
 
-TEST_CASE("starts go out no faster than they are answered") {
-    // Callers of a busy pool see nothing start for seconds, and then everything twice. A hundred VMs had come
-    // at once, the owner sent them 668 starts in one turn, and its link of 2 Mbit/s took three seconds for
-    // these: all timed out, were stopped and sent anew, and the owner's own lease renewal timed out behind
-    // them.
+TEST_CASE("starts are sent no faster than they are answered") {
+    // Guards against starts that time out and are repeated: when a hundred VMs arrive at once and the owner
+    // sends 668 starts in one round, its link of 2 Mbit/s takes three seconds for them, and the renewal of
+    // its own lease times out as well.
     scheduler_fixture b = pool_with_free_capacity();
     const start_window_settings settings;
     std::size_t started = 0;
@@ -45,7 +44,7 @@
     CHECK(started == many_tasks);
 }
 
-TEST_CASE("starts that wait for answers are decided on again when half of them are answered") {
+TEST_CASE("starts resume once half of those in flight are answered") {
     scheduler_fixture b = pool_with_free_capacity();
     const std::vector<start_order> first = b.decide().starts;
     REQUIRE(first.size() < many_tasks);
@@ -58,9 +57,9 @@
     CHECK(!b.decide().starts.empty());
 }
 
-TEST_CASE("VMs that don't answer hold the starts of others up for a moment only") {
-    // A rack loses power while a turn of demand begins. The starts on their way to it are never answered; the
-    // rest of the pool must not wait for their timeout.
+TEST_CASE("unresponsive VMs delay the starts on other VMs only briefly") {
+    // Guards against a pool that stalls when a rack loses power at the start of a demand peak: the starts in
+    // flight to it are never answered, and the other VMs must not wait for the timeout of those calls.
     scheduler_fixture b = pool_with_free_capacity();
     const std::size_t first = b.decide().starts.size();
     REQUIRE(first < many_tasks);
@@ -68,10 +67,10 @@
     CHECK(b.decide().starts.size() == first);
 }
 
-TEST_CASE("stops are not repeated to a VM that doesn't answer") {
-    // A VM is cut off while a dozen cancelled tasks run there. Repeated every 0.6 s for each of them, the
-    // stops of a whole zone take up the link of the pool's owner; they can't arrive, and the VM's lease ends
-    // the runs.
+TEST_CASE("stops are not repeated to an unresponsive VM") {
+    // Guards against repeated stops that use up the owner's link when a zone is cut off: with a dozen
+    // cancelled tasks per VM, a stop for each every 0.6 s fills the link. The stops can't arrive, and the
+    // VM's lease ends the runs.
     scheduler_fixture b;
     b.add_vm("v1");
     b.add_job("j", {scheduler_fixture::step(4)});
@@ -89,10 +88,10 @@
     CHECK(!b.decide().stops.empty());
 }
 
-TEST_CASE("a pool whose owner gets starts out slowly counts as slow, and asks for no more VMs") {
-    // Callers are told that their jobs are accepted and wait for six seconds, while other pools lack the VMs
-    // that idle here: the pool has room for all that waits, but its owner's link lets out a fifth of the
-    // starts that would fill it. Counted by room the queue looks short, and further VMs seem to help.
+TEST_CASE("a pool whose owner sends starts slowly reports that rate and requests no more VMs") {
+    // Guards against accepted jobs that wait for six seconds while VMs idle: the pool has enough capacity,
+    // but its owner's link carries only a fifth of the starts that would fill it. Judged by capacity, the
+    // queue seems short and further VMs seem useful.
     scheduler_fixture b = pool_with_free_capacity();
     const std::int64_t capacity = b.pool().load().usable_millicores;
     b.add_job("k", {scheduler_fixture::step(many_tasks)});
@@ -115,7 +114,7 @@
     CHECK(b.pool().demand(b.now()).need_millicores <= *load.sustained_millicores);
 }
 
-TEST_CASE("a burst that goes out at once says nothing about a rate") {
+TEST_CASE("a burst that is sent at once yields no sustained rate") {
     scheduler_fixture b = pool_with_free_capacity();
     for (int round = 0; round < 20; ++round) {
         b.start_all();
--- a/tests/jobs/vm_end_test.cpp
+++ b/tests/jobs/vm_end_test.cpp
@@ -3,15 +3,15 @@
 using namespace siskinpaddle;
 using namespace siskinpaddle::tests;
 
-TEST_CASE("the end of a VM tells what shows it, and what ended how long after its start") {
+TEST_CASE("the end of a VM has its cause and the age of each run that ended") {
     struct row {
         const char* name;
         vm_end_cause cause;
-        milliseconds passed; ///< From the last answer to the end.
+        milliseconds passed; ///< From the first missing answer to the end.
     };
-    const std::array rows{row{"another life at its address", vm_end_cause::replaced, 3600ms},
-                          row{"moved by its machine's owner", vm_end_cause::ordered, 100ms},
-                          row{"silent past its lease", vm_end_cause::lease_expired, 6500ms}};
+    const std::array rows{row{"another incarnation at its address", vm_end_cause::replaced, 3600ms},
+                          row{"machine moved by the platform", vm_end_cause::ordered, 100ms},
+                          row{"unresponsive past its lease", vm_end_cause::lease_expired, 6500ms}};
     for (const row& item : rows) {
         INFO(std::string(item.name));
         scheduler_fixture b;
--- a/tests/jobs/vm_record_test.cpp
+++ b/tests/jobs/vm_record_test.cpp
@@ -5,10 +5,10 @@
 using namespace siskinpaddle;
 using namespace siskinpaddle::jobs;
 
-TEST_CASE("the record names VMs that may hold runs, and no others") {
-    // Forecasts stand still for five seconds after their pool's owner was stopped, beside 176 idle VMs. A
-    // turn had just ended and machines were leaving; the record named their VMs until the platform had taken
-    // them off its list, and the new owner waited for each.
+TEST_CASE("the record contains exactly the VMs that may hold runs") {
+    // Guards against a pool that stalls for five seconds after a takeover beside 176 idle VMs: if VMs stay in
+    // the record until the platform no longer lists them, the new owner waits for each VM whose machine is
+    // leaving.
     struct record_case {
         const char* what = "";
         vm_record_inputs vm;
@@ -16,20 +16,19 @@
     };
     for (const record_case& item : {
              record_case{"just listed", {}, true},
-             record_case{"something runs there", {.is_idle = false, .recorded = true}, true},
-             record_case{
-                 "something runs there while it is emptied", {.is_idle = false, .evacuating = true}, true},
-             record_case{
-                 "something may run there, no longer listed", {.listed = false, .is_idle = false}, true},
-             record_case{"something may run there, silent", {.is_idle = false, .reachable = false}, true},
-             record_case{"empty, to be ordered away", {.evacuating = true, .recorded = true}, false},
+             record_case{"has runs", {.is_idle = false, .recorded = true}, true},
+             record_case{"has runs, being evacuated", {.is_idle = false, .evacuating = true}, true},
+             record_case{"may have runs, no longer listed", {.listed = false, .is_idle = false}, true},
+             record_case{"may have runs, unresponsive", {.is_idle = false, .reachable = false}, true},
+             record_case{"empty, evacuated", {.evacuating = true, .recorded = true}, false},
              record_case{"empty, no longer listed", {.listed = false, .recorded = true}, false},
-             record_case{"silent, its lease may run", {.reachable = false, .recorded = true}, true},
-             record_case{"silent for longer than its lease",
+             record_case{
+                 "unresponsive, lease may not have expired", {.reachable = false, .recorded = true}, true},
+             record_case{"unresponsive for longer than its lease",
                          {.reachable = false, .lease_expired = true, .recorded = true},
                          false},
-             record_case{"has left the record and does not answer", {.reachable = false}, false},
-             record_case{"has left the record and answers again", {.lease_expired = true}, true},
+             record_case{"not recorded, unresponsive", {.reachable = false}, false},
+             record_case{"not recorded, responds again", {.lease_expired = true}, true},
          }) {
         INFO(item.what);
         CHECK(belongs_in_record(item.vm) == item.recorded);
@@ -60,13 +59,13 @@
 
 } // namespace
 
-TEST_CASE("a VM counts as recorded only if every record that may be stored names it") {
-    // A task of a dead owner runs twice. The write that took its VM out of the record was not answered; the
-    // VM was no longer wanted elsewhere, looked recorded and got the task; then the write was carried out,
-    // and the next owner did not wait for the VM.
+TEST_CASE("a VM counts as recorded only if every version that may be stored contains it") {
+    // Guards against a task that runs twice after a takeover: if the write that removes a VM from the record
+    // is unanswered, the VM may count as recorded and get the task; once the write is carried out, the next
+    // owner does not wait for the VM.
     vm_record record = stored({"a", "b"});
     record.begin_write(record_of({"b", "c"}));
-    for (const bool answered : {false, true}) { // On its way, and then without an answer.
+    for (const bool answered : {false, true}) { // In flight, then unanswered.
         CHECK_FALSE(record.contains("a"));
         CHECK(record.may_contain("a"));
         CHECK(record.contains("b"));
@@ -78,7 +77,7 @@
         }
     }
     record.begin_write(record_of({"a", "b"}));
-    CHECK_FALSE(record.contains("a")); // The first write may still be the one that holds.
+    CHECK_FALSE(record.contains("a")); // The first write may still be the one carried out.
     CHECK(record.may_contain("c"));
     CHECK(record.revision() == 7);
     record.write_succeeded(9);
@@ -88,7 +87,7 @@
     CHECK(record.revision() == 9);
 }
 
-TEST_CASE("how a write of the record ends") {
+TEST_CASE("the result of a write decides what is known of the record") {
     struct end_case {
         const char* what = "";
         void (*end)(vm_record&) = nullptr;
@@ -101,7 +100,7 @@
              end_case{"carried out", [](vm_record& r) { r.write_succeeded(8); }, true, true, false, 8},
              end_case{"refused", [](vm_record& r) { r.write_refused(); }, true, false, true, 7},
              end_case{"not answered", [](vm_record& r) { r.write_unanswered(); }, false, false, true, 7},
-             end_case{"an earlier one was carried out", [](vm_record& r) { r.write_conflicted(8); }, false,
+             end_case{"an earlier write was carried out", [](vm_record& r) { r.write_conflicted(8); }, false,
                       false, true, 8},
          }) {
         INFO(item.what);
--- a/tests/jobs/work_gauge_test.cpp
+++ b/tests/jobs/work_gauge_test.cpp
@@ -3,10 +3,10 @@
 using namespace siskinpaddle;
 using namespace siskinpaddle::tests;
 
-TEST_CASE("a need counts by the resource that it takes the largest share of") {
+TEST_CASE("a need counts by the resource of which it takes the largest share") {
     work_gauge gauge;
     gauge.record_vm_capacity({32'000, 64'000, 4});
-    gauge.record_vm_capacity({16'000, 64'000, 4}); // A smaller one changes nothing.
+    gauge.record_vm_capacity({16'000, 64'000, 4}); // A smaller VM changes nothing.
     struct need_case {
         const char* what = "";
         resources need;
@@ -18,10 +18,10 @@
         INFO(item.what);
         CHECK(gauge.equivalent_millicores(item.need) == item.millicores);
     }
-    CHECK(work_gauge().equivalent_millicores({4000, 16'000, 2}) == 4000); // No VM is known yet.
+    CHECK(work_gauge().equivalent_millicores({4000, 16'000, 2}) == 4000); // No VM recorded yet.
 }
 
-TEST_CASE("the time factor follows what tasks really take, within bounds") {
+TEST_CASE("the time factor follows the observed durations of tasks, within bounds") {
     work_gauge gauge;
     CHECK(gauge.time_factor("q") == 1);
     gauge.record_task("q", 1000, 1500ms);
@@ -35,9 +35,10 @@
     CHECK(gauge.time_factor("other") == 1);
 }
 
-TEST_CASE("a pool whose VMs are full by memory asks for machines and turns work away") {
-    // Quotes of a pool wait four seconds while two hundred machines are spare. Long-running tasks hold the
-    // memory of the pool's three VMs; their processors are idle, and the pool looked a third used.
+TEST_CASE("a pool whose VMs are out of memory requests machines and refuses jobs") {
+    // Guards against jobs that wait four seconds beside two hundred spare machines: if long-running tasks use
+    // all memory of the pool's three VMs while their processors are mostly idle, the pool appears one third
+    // used.
     scheduler_fixture b;
     for (const char* vm : {"v1", "v2", "v3"}) {
         b.add_vm(vm);
@@ -56,13 +57,13 @@
     const pool_load load = b.pool().load();
     CHECK(load.used_millicores == 96'000);
     CHECK(load.long_running_millicores == 96'000);
-    // What is kept, and eight tasks that are worth a core each and wait.
+    // The capacity in use, and eight waiting tasks that count as one core each.
     CHECK(b.pool().demand(b.now()).need_millicores == 104'000);
 }
 
-TEST_CASE("a turn asks for the machines that its tasks need, not for those that were declared") {
-    // A turn of quotes whose tasks all take twice what they declare: for as long as it lasted the pool had
-    // half the machines that it needed.
+TEST_CASE("a demand peak requests machines by observed task durations, not by declared ones") {
+    // Guards against a pool with half the machines that it needs throughout a demand peak because all tasks
+    // take twice the declared time.
     scheduler_fixture b;
     b.add_vm("v1");
     for (int i = 0; i < 40; ++i) {
@@ -78,7 +79,7 @@
         b.report("v1", {}, ended);
     }
     for (int i = 0; i < 60;
-         ++i) { // For three seconds, twenty jobs of eight core-seconds a second, as declared.
+         ++i) { // For three seconds, twenty jobs per second of eight core-seconds each, as declared.
         b.pool().record_job_arrival(
             scheduler_fixture::record("n" + std::to_string(i), {scheduler_fixture::step(8)}).spec, b.now());
         b.advance_clock(50ms);
@@ -88,10 +89,10 @@
     CHECK(need < 340'000);
 }
 
-TEST_CASE("a pool asks for all the VMs that its long-running tasks need, at once") {
-    // A night's sweep of 25 tasks is accepted and half of it still does not run twenty seconds later, beside
-    // two hundred spare machines; an upkeep waits for it in vain. Two tasks at most may share a VM, and a
-    // pool of two asked for one more VM at a time.
+TEST_CASE("a pool requests all VMs for its long-running tasks at once") {
+    // Guards against a job of 25 long-running tasks of which half still wait after twenty seconds beside two
+    // hundred spare machines, which also blocks maintenance: at most two tasks may share a VM, and a pool of
+    // two VMs requested one more at a time.
     scheduler_fixture b;
     b.add_vm("v1");
     b.add_vm("v2");
@@ -104,9 +105,9 @@
     };
     int number = 0;
     std::map<std::string, std::int64_t> sequences;
-    for (const sweep_case& item :
-         {sweep_case{"all fit", 4, 2, 100, 0}, sweep_case{"spread", 25, 2, 100, 13},
-          sweep_case{"spread, one each", 10, 1, 100, 10}, sweep_case{"room", 24, 0, 16'384, 6}}) {
+    for (const sweep_case& item : {sweep_case{"all fit", 4, 2, 100, 0}, sweep_case{"spread", 25, 2, 100, 13},
+                                   sweep_case{"spread, one per VM", 10, 1, 100, 10},
+                                   sweep_case{"limited by capacity", 24, 0, 16'384, 6}}) {
         INFO(item.what);
         step_spec step = scheduler_fixture::step(item.tasks, 100, 0);
         step.long_running = true;
@@ -127,10 +128,10 @@
     }
 }
 
-TEST_CASE("a long-running task that left its VM for an upkeep gets a VM of its own") {
-    // A sweep's task does not run for 35 seconds, beside two hundred spare machines. It was stopped on a VM
-    // that was to have its upkeep; each other VM of its pool had a task of the same step, of which no two may
-    // share one, and the pool's processors were mostly idle, so that it asked for no VM more.
+TEST_CASE("a long-running task stopped for maintenance gets an additional VM") {
+    // Guards against a task that waits 35 seconds beside two hundred spare machines: it was stopped for
+    // maintenance of its VM, no two tasks of its step may share a VM, each other VM has one, and the mostly
+    // idle pool requests no further VM.
     scheduler_fixture b;
     for (const char* vm : {"v1", "v2", "v3"}) {
         b.add_vm(vm);
@@ -150,12 +151,12 @@
     CHECK(b.decide().stops.size() == 1);
     b.report(starts[0].vm, {}, {scheduler_fixture::end(1, starts[0], run_end::stopped)});
     CHECK(b.decide().starts.empty());
-    CHECK(b.pool().demand(b.now()).min_vms == 3); // The two that may take work, and one for the task.
+    CHECK(b.pool().demand(b.now()).min_vms == 3); // The two usable VMs and one for the task.
 }
 
-TEST_CASE("a pool asks for VMs with the label that its tasks require, also for those that are late") {
-    // A forecast waits for half a minute and is then given up by its partner. Its tasks need a label that
-    // none of the pool's VMs has; the pool's cores were idle, and what is late counted as no demand at all.
+TEST_CASE("a pool requests VMs with a label that its tasks require, including late tasks") {
+    // Guards against a job that waits for half a minute until its client abandons it: its tasks require a
+    // label that none of the pool's VMs has, the pool's cores are idle, and late work counts as no demand.
     scheduler_fixture b;
     b.add_vm("v1");
     step_spec labelled = scheduler_fixture::step(8, 4000);
