--- a/jobs/job.hpp
+++ b/jobs/job.hpp
@@ -10,7 +10,7 @@
 
 namespace siskinpaddle::jobs {
 
-/// Enumerations are stored as one byte.
+/// Serializes an enumeration as one byte.
 template <typename Archive, typename Enum>
 requires std::is_enum_v<Enum> std::uint8_t save_minimal(const Archive&, const Enum& value) {
     return static_cast<std::uint8_t>(value);
@@ -21,7 +21,7 @@
     value = static_cast<Enum>(stored);
 }
 
-/// What a task asks for, or what a VM has.
+/// Resources that a task requests, or that a VM has.
 struct resources {
     std::int64_t cpu_millicores = 0;
     std::int64_t memory_mb = 0;
@@ -52,7 +52,7 @@
     }
 };
 
-/// A step of a job: `count` alike tasks that may run once all tasks of the steps in `after` are done.
+/// A step of a job: `count` identical tasks that may start once all tasks of the steps in `after` are done.
 struct step_spec {
     std::uint32_t count = 1;
     resources need;
@@ -63,14 +63,15 @@
     bool same_rack = false;
     std::string required_label;   ///< Empty: any VM.
     std::string data_rack;        ///< Rack of the step's data; empty: none.
-    std::uint32_t max_per_vm = 0; ///< Most tasks of the step on one VM; 0: any number.
+    std::uint32_t max_per_vm = 0; ///< Maximum number of tasks of the step on one VM; 0: unlimited.
     bool speculative = false;     ///< Two runs of one task may overlap.
-    bool long_running = false;    ///< Runs until the job is cancelled and is restarted however it ends.
+    bool long_running = false;    ///< Runs until the job is cancelled; restarted however a run ends.
     std::string image;
-    std::int64_t target_tail_latency_ms =
-        0;                               ///< Bound on the tail of a serving task's response times; 0: none.
-    bool best_effort = false;            ///< Takes what other tasks leave unused; counts against no capacity.
-    std::uint32_t disruption_budget = 0; ///< Most tasks of a long-running step that we may keep away at once.
+    std::int64_t target_tail_latency_ms = 0; ///< Bound on the tail latency of a serving task, ms; 0: none.
+    /// Runs on processor time that other tasks leave idle; only its memory counts against capacity.
+    bool best_effort = false;
+    /// Maximum number of tasks of a long-running step that may be kept unavailable at once.
+    std::uint32_t disruption_budget = 0;
 
     template <typename Archive>
     void serialize(Archive& archive) {
@@ -80,10 +81,10 @@
     }
 };
 
-/// A job as its client submitted it.
+/// A job as submitted by its client.
 struct job_spec {
-    std::string id;    ///< Chosen by the client; unique in its pool.
-    std::string queue; ///< Name of the queue that took it.
+    std::string id;    ///< Chosen by the client; unique within its pool.
+    std::string queue; ///< Name of the queue that accepted the job.
     std::string payload;
     std::vector<step_spec> steps;
     std::uint32_t occurrences = 1;
@@ -106,7 +107,7 @@
     }
 };
 
-/// Names one task of one job.
+/// Identifies one task of one job.
 struct task_id {
     std::string job;
     std::uint32_t occurrence = 0;
@@ -116,7 +117,7 @@
     auto operator<=>(const task_id&) const = default;
 };
 
-/// What clients are told of a job.
+/// Phase of a job as reported to clients.
 enum class job_phase : std::uint8_t { queued, running, completed, failed, cancelled };
 
 /// Whether the phase is final.
--- a/jobs/job_admission.cpp
+++ b/jobs/job_admission.cpp
@@ -7,37 +7,38 @@
 
 namespace {
 
-/// A job that ends within this many times its objective is still of some use to its client.
+/// A job that ends within this multiple of its objective is still of some use to its client.
 constexpr int useful_lateness_factor = 3;
-/// Share of the objective that the end of a job may take up that will be late. Below the factor above which
-/// it is of no use, since estimates of work are off by a fifth to a half.
+/// Maximum expected end of a job that is accepted although it will be late, as a multiple of its objective.
+/// Below useful_lateness_factor, since estimates of work are off by a fifth to a half.
 constexpr double late_admission_factor = 2.5;
-/// Share of a pool's room that late work may take from new jobs.
+/// Maximum share of a pool's capacity that late work may take from new jobs.
 constexpr double late_work_share = 0.25;
-/// Share of the objective that the expected end may take up. Above 1 jobs are taken that most likely end
-/// late, below it machines idle whenever the estimate of the queue is too long.
+/// Maximum expected end of a job as a multiple of its objective. Above 1, jobs that most likely end late are
+/// accepted; below 1, machines are idle whenever the estimate of the queue is too long.
 constexpr double admission_slack = 1.0;
-/// Clients are told whole seconds. Longer than the queue takes to drain makes no sense for a client whose own
-/// objective is a few seconds.
+/// Clients receive the retry delay in whole seconds. A delay longer than the queue takes to drain is of no
+/// use to a client whose own objective is a few seconds.
 constexpr milliseconds min_retry_after = 1s;
 constexpr milliseconds max_retry_after = 5s;
 
-/// Time over which arriving work is averaged: a few jobs even of the rare large kinds, within the two seconds
-/// that machines take to come.
+/// Time over which arriving work is averaged: long enough for a few jobs even of the rare large kinds, within
+/// the two seconds that machines take to arrive.
 constexpr milliseconds arrival_window = 1500ms;
-/// Fewer jobs than this in the window say nothing about a rate.
+/// Fewer jobs than this in the window don't determine a rate.
 constexpr std::size_t min_arrivals = 3;
-/// The rise of the rate is read from two spans of this length: long enough to hold dozens of jobs at the
-/// rates that need many machines, short against the four seconds in which a turn rises.
+/// The rise of the rate is computed from two spans of this length: long enough to contain dozens of jobs at
+/// the rates that need many machines, short compared with the four seconds in which demand rises.
 constexpr milliseconds trend_span = 1000ms;
-/// How far ahead the rate is carried on: half a span back to its middle, and until machines have come.
+/// How far ahead the rate is extrapolated: from the middle of the last span, half a span back, to the arrival
+/// of machines.
 constexpr double trend_horizon_s = 2.4;
-/// A rise counts beyond this many standard deviations of what independent arrivals differ by; at one, a level
-/// rate would be taken for a rise in one of six readings, and ask for machines each time.
+/// A rise counts only beyond this many standard deviations of the difference that independent arrivals cause;
+/// with one, a constant rate would be taken for a rise in one of six readings and request machines each time.
 constexpr double min_rise_deviations = 1.5;
-/// A rate is carried on to this many times itself at most.
+/// A rate is extrapolated to at most this multiple of itself.
 constexpr double max_rate_growth = 3;
-/// The need falls to a third within this time. The demand's turns last several seconds.
+/// Time in which the need falls to a third. Peaks of demand last several seconds.
 constexpr double need_decay_ms = 1200;
 
 milliseconds allowed_time(std::int64_t critical_path_ms, const queue_settings& queue) {
@@ -76,8 +77,9 @@
     return std::min(need_millicores, long_running_millicores + *sustained_millicores);
 }
 
-/// Room for work that waits, with `further` beside the VMs that take work now. Late work keeps its share:
-/// with all of the room promised to new jobs, accepted ones that are late once are never done.
+/// Capacity for waiting work, with `extra_millicores` in addition to the VMs that accept work now. Late work
+/// keeps its share: if all capacity were promised to new jobs, accepted jobs that have become late would
+/// never be done.
 std::int64_t pool_load::millicores_for_waiting_work(std::int64_t extra_millicores) const noexcept {
     const std::int64_t capacity = usable_millicores - long_running_millicores + extra_millicores;
     const std::int64_t available = std::min(capacity, sustained_millicores.value_or(capacity));
@@ -104,7 +106,7 @@
     m_arrivals[job] = {work, now};
 }
 
-/// The rate of arriving work by the time at which machines that are asked for now take work.
+/// Extrapolated rate of arriving work at the time when machines that are requested now accept work.
 double demand_meter::projected_rate(timestamp now) const {
     double recent = 0;
     double earlier = 0;
--- a/jobs/job_admission.hpp
+++ b/jobs/job_admission.hpp
@@ -8,10 +8,11 @@
 
 namespace siskinpaddle::jobs {
 
-/// Where a job stands among the others that wait for room; smaller goes first.
+/// Rank of a job among the jobs that wait for capacity; smaller ranks are placed first.
 struct job_rank {
-    /// 0: long-running jobs, which earn from the moment they run and are few. 1: jobs that can still reach
-    /// their objective. 2: jobs that will be late. 3: jobs too late to be of use; they only fill idle room.
+    /// 0: long-running jobs, which are few and are of use from the moment they run. 1: jobs that can still
+    /// meet their objective. 2: jobs that have missed their objective. 3: jobs too late to be useful, which
+    /// only fill idle capacity.
     int group = 1;
     int priority = 0;
     timestamp objective_at{0};
@@ -19,76 +20,79 @@
     auto operator<=>(const job_rank&) const = default;
 };
 
-/// When what may begin at `begins_at` should be done for the job's client to be served in time.
+/// Returns when work that may begin at `begins_at` must be done to meet its queue's objective.
 [[nodiscard]] timestamp objective_of(const job_state& job, const queue_settings& queue, timestamp begins_at);
 
-/// Ranks what may begin at `begins_at`: a job, or one of its occurrences. Answers a demand that rises to
-/// several times the pool's room for seconds: first come, first served would serve every job late once the
-/// queue is longer than the objective, so a job that has missed its objective makes way for those that can
-/// still reach theirs.
+/// Ranks a job, or one of its occurrences, that may begin at `begins_at`. Demand can rise to several times
+/// the pool's capacity for seconds: first come, first served would then finish every job late once the queue
+/// is longer than the objective, so a job that has missed its objective yields to jobs that can still meet
+/// theirs.
 [[nodiscard]] job_rank rank_of(const job_state& job, const queue_settings& queue, timestamp begins_at,
                                timestamp now);
 
-/// Within this time work that waits should be done, ms: well within objectives of two seconds and more.
+/// Target time for draining waiting work, ms: well within objectives of two seconds and more.
 inline constexpr std::int64_t drain_time_ms = 1000;
-/// Within this time work that is late should be done: its callers wait, but no longer for an objective.
+/// Target time for draining late work, ms: callers wait for this work, but its objective is already missed.
 inline constexpr std::int64_t late_drain_time_ms = 4000;
 
-/// Load of a pool, as admission sees it.
+/// Load of a pool, as used by admission.
 struct pool_load {
-    std::int64_t waiting_work = 0;  ///< Millicore-milliseconds that go before a new job.
-    std::int64_t runnable_work = 0; ///< The part of it that could run now; the rest waits for earlier steps.
-    std::int64_t upcoming_work = 0; ///< Of occurrences that are due by the time that machines take to come.
-    std::int64_t late_work = 0;     ///< Of accepted jobs that are late; it goes after a new job, but is done.
-    std::int64_t usable_millicores = 0;       ///< Capacity of the VMs that take work ...
-    std::int64_t used_millicores = 0;         ///< ... the room that runs take there ...
-    std::int64_t long_running_millicores = 0; ///< ... and the part of it that long-running tasks keep.
+    std::int64_t waiting_work = 0; ///< Millicore-milliseconds that are placed before a new job.
+    /// The part of `waiting_work` that could run now; the rest waits for earlier steps.
+    std::int64_t runnable_work = 0;
+    std::int64_t upcoming_work = 0; ///< Work of occurrences that become due within machine_lead_time.
+    /// Work of accepted jobs that are late; it ranks after a new job, but is done.
+    std::int64_t late_work = 0;
+    std::int64_t usable_millicores = 0;       ///< Capacity of the VMs that accept work.
+    std::int64_t used_millicores = 0;         ///< Capacity of these VMs that runs use.
+    std::int64_t long_running_millicores = 0; ///< The part of `used_millicores` that long-running tasks use.
     std::size_t usable_vms = 0;
-    /// What the owner can keep at work, where it gets starts out more slowly than there is room: its link or
-    /// its processor binds, and VMs beyond that would idle.
+    /// Capacity that the owner can keep busy. Set only while the owner's link or processor limits the rate of
+    /// starts; VMs beyond this capacity would be idle.
     std::optional<std::int64_t> sustained_millicores;
 
-    std::int64_t arriving_millicores = 0;   ///< Of VMs that are on their way to the pool ...
-    std::int64_t obtainable_millicores = 0; ///< ... and of machines that no pool wants just now.
+    std::int64_t arriving_millicores = 0;   ///< Capacity of VMs that are being moved to the pool.
+    std::int64_t obtainable_millicores = 0; ///< Capacity of machines that no pool wants at present.
 
-    /// Capacity that running, waiting and coming work would use if what does not run yet were to be done
-    /// within the drain time.
+    /// Capacity that running, waiting and upcoming work would use if all work that isn't running yet were
+    /// done within the drain time.
     [[nodiscard]] std::int64_t wanted_millicores() const noexcept {
         return used_millicores + (runnable_work + upcoming_work) / drain_time_ms;
     }
-    /// Capacity that late work would use were it to be done within its drain time.
+    /// Capacity that late work would use if it were done within its drain time.
     [[nodiscard]] std::int64_t late_millicores() const noexcept { return late_work / late_drain_time_ms; }
-    /// The part of a need that the owner can make use of.
+    /// Limits a need to the capacity that the owner can keep busy.
     [[nodiscard]] std::int64_t limit_to_sustained(std::int64_t need_millicores) const noexcept;
-    /// How long the pool takes for the work that waits, with the machines that are on their way.
+    /// Time that the pool needs for the waiting work, with the VMs that are being moved to it.
     [[nodiscard]] milliseconds queue_wait() const noexcept;
-    /// The same, with the machines that can be had as well once they have come.
+    /// The same as queue_wait(), with the obtainable machines added after machine_lead_time.
     [[nodiscard]] milliseconds shortest_queue_wait() const noexcept;
 
   private:
     [[nodiscard]] std::int64_t millicores_for_waiting_work(std::int64_t extra_millicores) const noexcept;
 };
 
-/// How long machines take to come: a round of their owner, and the 1.8 s from the order to the first task.
+/// Time from the need for a machine to its first task: a round of the machines' owner, and 1.8 s from the
+/// order to the first task.
 inline constexpr milliseconds machine_lead_time = 2s;
 
-/// Follows the capacity that a pool needs: at once upwards, slowly downwards, so that the gaps between two
-/// bursts don't send machines away that are needed again a second later. Upwards it goes by the rate at which
-/// work arrives: machines take two seconds to come, and by the time that the queue shows what a new turn of
-/// demand needs, its first callers are late. A rate that rises is carried on to when the machines come: a
-/// turn that rises evenly over four seconds is half over by then.
+/// Tracks the capacity that a pool needs. The need rises at once and falls slowly, so that machines aren't
+/// released in the gap between two bursts and needed again a second later. A rise is derived from the rate at
+/// which work arrives: machines take two seconds to arrive, and by the time the queue shows a rise in demand,
+/// its first jobs are late. A rising rate is extrapolated to the time when the machines arrive: a demand that
+/// rises evenly over four seconds has completed half of its rise by then.
 class demand_meter {
   public:
-    /// A job was handed in, accepted or turned away; `work` in millicore-milliseconds.
+    /// Records a submitted job, accepted or refused; `work` in millicore-milliseconds.
     void record_arrival(const std::string& job, std::int64_t work, timestamp now);
-    /// `wanted`: what running and waiting work would use now; `endless`: the part of it that long-running
-    /// tasks keep beside whatever arrives; millicores.
+    /// `wanted`: capacity that running and waiting work would use now; `long_running`: the part of it that
+    /// long-running tasks use in addition to any arriving work; both in millicores.
     void update(std::int64_t wanted, std::int64_t long_running, timestamp now);
-    /// What is needed now: for what is there, or for what has arrived lately, whichever is more; millicores.
+    /// Capacity needed now, millicores: for present work or for recently arrived work, whichever needs more.
     [[nodiscard]] std::int64_t current_need() const noexcept {
         return static_cast<std::int64_t>(m_current_need);
     }
-    /// The same, falling slowly.
+    /// The same as current_need(), but falls slowly.
     [[nodiscard]] std::int64_t smoothed_need() const noexcept {
         return static_cast<std::int64_t>(m_smoothed_need);
     }
@@ -101,27 +105,27 @@
 
     [[nodiscard]] double projected_rate(timestamp now) const;
 
-    std::map<std::string, arrival> m_arrivals; ///< By job: a client's retries count once.
+    std::map<std::string, arrival> m_arrivals; ///< By job, so that a client's retries count once.
     double m_current_need = 0;
     double m_smoothed_need = 0;
     timestamp m_updated_at{0};
 };
 
-/// What to do with a job that a client wants to submit.
+/// Decision on a job that a client submits.
 struct admission_verdict {
     bool accepted = true;
     milliseconds retry_after{0};
-    milliseconds queue_time{0}; ///< How long the work that waits takes; what decided.
+    milliseconds queue_time{0}; ///< Estimated time for the waiting work; the basis of the decision.
 };
 
-/// Accepts a job if it can reach its objective behind the work that waits, so that accepted work is finished
-/// in time and the rest is told at once to come back later. Answers bursts and turns above the pool's room:
-/// with everything accepted, all jobs end late. Long-running jobs are always accepted; they need room, not
-/// turns.
+/// Accepts a job if it can meet its objective behind the waiting work, so that accepted work finishes in time
+/// and other jobs are refused at once with a retry delay. If everything were accepted while demand exceeds
+/// the pool's capacity, all jobs would end late. Long-running jobs are always accepted; they need capacity,
+/// not a position in the queue.
 ///
-/// While there are machines that no pool wants, a job that will be late is accepted as well if it will be of
-/// some use: its room is taken from nobody, and a caller who is refused seldom has time for a second try.
-/// Accepting late jobs without such machines would serve fewer in time.
+/// While there are machines that no pool wants, a job that will be late is accepted as well if it will still
+/// be of some use: it takes capacity from no other job, and a caller that is refused seldom has time for a
+/// second attempt. Without such machines, accepting late jobs would let fewer jobs finish in time.
 [[nodiscard]] admission_verdict admit(const job_spec& spec, const queue_settings& queue,
                                       std::int64_t critical_path_ms, const pool_load& load);
 
--- a/jobs/scheduler.cpp
+++ b/jobs/scheduler.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-/// Queues that the configuration no longer names keep their jobs; these get the mildest terms.
+/// Jobs of queues that the configuration no longer names are kept, with the most lenient settings.
 const queue_settings unknown_queue{};
 
-/// Beyond this a pool's VMs are as good as lost, and their loss shows elsewhere.
+/// Upper bound of shrink_factor(). VMs that have shrunk further are practically lost, and their loss is
+/// detected elsewhere.
 constexpr double max_shrink_factor = 4;
 
-/// Tasks of the step that could start now, were there room for them. Those that an earlier owner may have
-/// started are not among them.
+/// Counts the tasks of the step that could start now if there were capacity for them. Tasks that a previous
+/// owner may have started are not counted.
 std::uint64_t count_waiting_tasks(const job_state& job, step_position position) {
     if (job.idle_tasks(position) == 0 || !job.dependencies_done(position)) {
         return 0;
@@ -116,8 +117,9 @@
     return result;
 }
 
-/// How much more the pool's VMs have had than they have now. Machines are counted by what they have at best:
-/// without this a pool whose VMs have shrunk asks for as many as before, and its queue stands still.
+/// Ratio of the largest capacity that the pool's VMs have had to their present capacity. Machines are counted
+/// by their largest capacity: without this factor, a pool whose VMs have shrunk would request as many as
+/// before, and its queue would not drain.
 double scheduler::shrink_factor() const {
     std::int64_t now = 0;
     std::int64_t largest = 0;
@@ -133,11 +135,12 @@
     return std::min(max_shrink_factor, static_cast<double>(largest) / static_cast<double>(now));
 }
 
-/// VMs that would let all long-running tasks run that wait now: those there, and as many more as the step
-/// needs that is short of most. Counted by VMs, not by room: a step of 25 tasks of which two may share a VM
-/// needs 13. Counted by room its pool asked for one VM at a time, each after the one before had come, and a
-/// job that was accepted 7 s before the traffic had its last task started 41 s into it. Meanwhile no upkeep
-/// could move one of its tasks, since those that had never started used its disruption budget up.
+/// Number of VMs that would let all waiting long-running tasks run: the usable VMs, and as many more as the
+/// step with the largest shortage needs. Counts VMs, not capacity: a step of 25 tasks of which two may share
+/// a VM needs 13. By capacity, the pool would request one VM at a time, each after the previous one has
+/// arrived; the last task of a job that is accepted 7 s before its traffic would start 41 s into it.
+/// Meanwhile no maintenance could move a task of the job, since the tasks that have never started use up its
+/// disruption budget.
 std::uint64_t scheduler::vms_for_long_running(std::size_t usable_vms) const {
     const auto each = static_cast<std::uint64_t>(
         std::max<std::int64_t>(1, m_work_gauge.largest_vm_capacity().cpu_millicores));
@@ -161,7 +164,8 @@
     return missing == 0 ? 0 : usable_vms + missing;
 }
 
-/// Millicores that tasks of each label have, or would use if what can run were done within the drain time.
+/// Millicores that running tasks of each label use, and that waiting ones would use if those that can run
+/// were done within the drain time.
 std::map<std::string, std::int64_t> scheduler::wanted_by_label(timestamp now) const {
     std::map<std::string, std::int64_t> wanted;
     for (const auto& item : m_jobs) {
--- a/jobs/scheduler.hpp
+++ b/jobs/scheduler.hpp
@@ -17,42 +17,43 @@
 
 namespace siskinpaddle::jobs {
 
-/// Bounds and durations of an owner's decisions.
+/// Limits and durations of an owner's decisions.
 struct scheduler_settings {
-    /// Lease of everything that runs on a VM; the platform's longest.
+    /// Lease of everything that runs on a VM; the platform's maximum.
     milliseconds lease = 6s;
-    /// A start that arrives later than this is refused by the VM. Above a slow round trip, below the two
+    /// A VM refuses a start that arrives later than this. Longer than a slow round trip, shorter than the two
     /// seconds after which the platform may carry out an order that was not answered.
     milliseconds start_timeout = 1500ms;
-    /// How long after a takeover runs of the earlier owner may live on VMs that don't answer.
+    /// How long after a takeover runs of the previous owner may exist on VMs that don't respond.
     milliseconds takeover_timeout = 12s;
-    milliseconds max_stop_time = 1s; ///< A run that is stopped ends, and is listed until then, within this.
-    milliseconds stop_retry_interval = 600ms; ///< A stop without an answer is sent again after this.
+    milliseconds max_stop_time = 1s; ///< A stopped run ends within this time; its VM lists it until then.
+    milliseconds stop_retry_interval = 600ms; ///< A stop without an answer is sent again after this interval.
     std::size_t frequent_poll_runs =
-        3; ///< Runs that end by themselves; a VM with so many is looked at closely.
-    std::uint32_t attempts_per_epoch = 1000; ///< Attempt numbers of one owner; its successor's are higher.
+        3; ///< A VM with this many runs that aren't long-running is polled frequently.
+    /// Attempt numbers of one owner; those of its successor are higher.
+    std::uint32_t attempts_per_epoch = 1000;
     placement_settings placement;
     start_window_settings starts;
 };
 
-/// Start a run.
+/// Order to start a run.
 struct start_order {
     std::string vm;
     task_id task;
     std::uint32_t attempt = 0;
-    std::int64_t deadline = 0; ///< On the VM's clock: arriving later, it is refused.
+    std::int64_t deadline = 0; ///< On the VM's clock; the VM refuses a start that arrives later.
     std::string checkpoint;
     std::string ticket;
 };
 
-/// Stop a run, or keep one from starting.
+/// Order to stop a run, or to prevent it from starting.
 struct stop_order {
     std::string vm;
     task_id task;
     std::uint32_t attempt = 0;
 };
 
-/// Let a run work at a share of its speed.
+/// Order to limit a run to a share of its speed.
 struct pace_order {
     std::string vm;
     task_id task;
@@ -60,7 +61,7 @@
     int percent = 100;
 };
 
-/// Why a run or a VM was given up, for the log.
+/// An event about a run or a VM, for the log.
 struct scheduler_note {
     std::string what;
     std::string vm;
@@ -68,7 +69,7 @@
     std::uint32_t attempt = 0;
 };
 
-/// What is held against a task has changed.
+/// A change of the crash evidence recorded against a task.
 struct suspicion_change {
     task_id task;
     suspicion level = suspicion::none;
@@ -80,27 +81,29 @@
     std::vector<start_order> starts;
     std::vector<stop_order> stops;
     std::vector<pace_order> paces;
-    std::vector<advice_request> advice_requests; ///< To the policy service.
+    std::vector<advice_request> advice_requests; ///< Sent to the policy service.
     std::vector<scheduler_note> notes;
-    std::vector<vm_end> ended_vms; ///< Those that were in use; for the log.
+    std::vector<vm_end> ended_vms; ///< VMs that ended while in use; for the log.
     std::vector<suspicion_change> suspicion_changes;
 };
 
-/// What has to be stored next, and what may be told once it is.
+/// Changes to store next, and the ends that may be acknowledged once the changes are stored.
 struct store_batch {
-    std::vector<std::string> jobs;                     ///< Jobs with changes.
-    std::map<std::string, std::int64_t> end_sequences; ///< VM -> ends that the VM may forget afterwards.
+    std::vector<std::string> jobs; ///< Jobs with changes.
+    /// VM -> sequence number up to which the VM may forget its ends afterwards.
+    std::map<std::string, std::int64_t> end_sequences;
 
     [[nodiscard]] bool empty() const noexcept { return jobs.empty() && end_sequences.empty(); }
 };
 
 enum class cancel_outcome : std::uint8_t { unknown_job, cancelled, already_final };
 
-/// Decides for one pool which task runs where: pure, events and clock readings in, orders out. One owner at a
-/// time has a pool; the fencing token keeps an earlier one's orders from being obeyed. Not thread-safe.
+/// Decides for one pool which task runs where. Pure: takes events and clock readings and returns orders. One
+/// owner at a time has a pool; the fencing token makes VMs refuse the orders of a previous owner. Not
+/// thread-safe.
 ///
-/// No task runs twice at a time: a run is given up only when its VM says that it isn't there and can't come
-/// any more, when another life of the VM answers, or when the VM's lease has certainly run out.
+/// No task runs twice at a time: a run is dropped only when its VM reports that the run isn't there and can't
+/// start any more, when another incarnation of the VM responds, or when the VM's lease has certainly expired.
 class scheduler {
   public:
     /// `epoch` counts the owners of the pool from 0.
@@ -113,30 +116,31 @@
     [[nodiscard]] bool has_job(const std::string& job) const { return m_jobs.contains(job); }
     [[nodiscard]] admission_verdict check_admission(const job_spec& spec) const;
     void add_job(const job_record& record, timestamp accepted_at);
-    /// Adds a job that an earlier owner stored. Its tasks start once every VM that may run them was heard.
+    /// Adds a job that a previous owner stored. Its tasks start once every VM that may run them has reported
+    /// or ended, or after takeover_timeout.
     void restore_job(const job_record& record, const std::optional<job_progress>& progress,
                      timestamp accepted_at);
     cancel_outcome cancel(const std::string& job, timestamp now);
-    /// The phase to tell clients: a final one only once it is stored. Nothing for an unknown job.
+    /// The phase to report to clients: a final one only once it is stored. Empty for an unknown job.
     [[nodiscard]] std::optional<job_phase> phase_of(const std::string& job) const;
-    /// Jobs of the queue that have not begun.
+    /// Number of jobs of the queue that have not begun.
     [[nodiscard]] std::size_t pending_jobs(const std::string& queue) const;
     [[nodiscard]] const job_state* find_job(const std::string& job) const;
     [[nodiscard]] std::size_t job_count() const noexcept { return m_jobs.size(); }
-    /// Tasks that something is held against.
+    /// Number of tasks with crash evidence recorded against them.
     [[nodiscard]] std::size_t suspect_count() const noexcept { return m_suspects.size(); }
 
     // --- VMs ---
 
-    /// A VM that the platform lists, or that changed what it tells.
+    /// Adds a VM that the platform lists, or updates what the VM has registered.
     void add_or_update_vm(const vm_info& info);
     void mark_vm_delisted(const std::string& vm);
-    /// A VM that an earlier owner may have used; its runs are unknown until it reports or is gone.
+    /// Adds a VM that a previous owner may have used; its runs are unknown until it reports or ends.
     void expect_vm(const vm_info& info);
-    /// VMs that may run tasks of an earlier owner and have not answered yet; while there are any, those tasks
+    /// VMs that may run tasks of a previous owner and have not reported yet; while there are any, those tasks
     /// wait.
     [[nodiscard]] const std::set<std::string>& unconfirmed_vms() const noexcept { return m_unconfirmed_vms; }
-    /// This life of the VM has certainly ended.
+    /// Processes the confirmed end of this incarnation of the VM.
     void handle_vm_ended(const std::string& vm, vm_end_cause cause, timestamp now);
     void handle_report(const std::string& vm, const vm_report& report, timestamp now);
     void handle_vm_unreachable(const std::string& vm, timestamp now);
@@ -146,36 +150,38 @@
                             timestamp now);
     void handle_advice_answer(const advice_request& request, const advice_answer& answer, timestamp now);
     void cordon(const std::string& vm, bool on);
-    /// Nothing runs on the VM, or may yet start there, and all ends that it has listed are stored. Only then
-    /// may it go: the ends of a VM that is gone can't be read again, and what had ended there would be
-    /// started once more.
+    /// Whether nothing runs on the VM or may yet start there, and all ends that it has listed are stored. The
+    /// VM may be removed only then: the ends on a removed VM can't be read again, and tasks that had ended
+    /// there would be started once more.
     [[nodiscard]] bool is_releasable(const std::string& vm) const;
-    /// Deadline for the next renewal of the VM's lease; books it as granted. 0: only look, since its clock is
-    /// not known yet, it does not answer, or nothing runs there but runs of unknown jobs.
+    /// Returns the deadline for the next renewal of the VM's lease, on the VM's clock, and records it as
+    /// granted. Returns 0 if the VM must only be polled: its clock is not known yet, it does not respond, or
+    /// only runs of unknown jobs are there.
     [[nodiscard]] std::int64_t grant_lease_renewal(const std::string& vm, timestamp now);
     [[nodiscard]] const vm_table& vms() const noexcept { return m_vms; }
-    /// Whether the VM runs something that should be looked at often: a run that is not at work yet or is
-    /// unwanted, tasks that may disturb each other, or several that soon end.
+    /// Whether the VM must be polled frequently: it has a run that is not available yet or is unwanted, tasks
+    /// that may disturb each other, or several tasks that end soon.
     [[nodiscard]] bool needs_frequent_polling(const std::string& vm) const;
 
     // --- Deciding ---
 
-    /// `wall_ms`: time of day for jobs with due times. `certain`: nobody else can have owned the pool since;
-    /// only then does silence of a VM prove anything, since a successor that reaches it would renew its
-    /// lease.
+    /// `wall_ms`: time of day for jobs with due times. `ownership_confirmed`: no other node can have owned
+    /// the pool since; only then does an unresponsive VM count as ended after its lease, since a successor
+    /// that reaches the VM would renew its lease.
     [[nodiscard]] decisions decide(timestamp now, std::int64_t wall_ms, bool ownership_confirmed);
-    /// Starts were held back until earlier ones are answered, and enough of these are. To be asked with each
-    /// answer, so that the next decision comes at once.
+    /// Whether starts were held back until earlier ones are answered, and enough of these are. Checked with
+    /// each answer, so that the next decision follows at once.
     [[nodiscard]] bool can_start_more() const noexcept { return m_start_window.can_resume(); }
     [[nodiscard]] pool_load load() const;
-    /// What the pool needs, and its VMs.
+    /// Returns the capacity that the pool needs, and the load of its VMs.
     [[nodiscard]] pool_demand demand(timestamp now);
-    /// Starts nothing while `held`: how much room the VMs have isn't known.
+    /// Starts nothing while `held`, because the free capacity of the VMs isn't known.
     void hold_starts(bool held) noexcept { m_starts_held = held; }
-    /// A job was handed in, accepted or not; it counts as demand for a while.
+    /// Records a submitted job, accepted or refused; it counts as demand for a while.
     void record_job_arrival(const job_spec& spec, timestamp now);
-    /// VMs that are on their way to the pool, and machines that no pool wants. Holds until told anew, with
-    /// each round of the machines' owner; when that one dies, until its successor's first round, 2.2 s later.
+    /// Sets the number of VMs that are being moved to the pool, and of machines that no pool wants. Valid
+    /// until the next call, which comes with each round of the machines' owner; when that owner dies, with
+    /// its successor's first round, 2.2 s later.
     void set_expected_vms(std::size_t arriving, std::size_t obtainable) {
         m_arriving_vms = arriving;
         m_obtainable_vms = obtainable;
@@ -184,15 +190,15 @@
     // --- Storing ---
 
     [[nodiscard]] bool has_changes() const { return !m_changed_jobs.empty() || m_has_ends_to_store; }
-    /// Whether somebody waits for a change: a job that ended.
+    /// Whether a client waits for a change to be stored: a job that ended.
     [[nodiscard]] bool has_urgent_changes() const noexcept { return m_has_urgent_changes; }
     [[nodiscard]] store_batch begin_store_batch();
-    /// The job's changes up to `change` are stored.
+    /// Records that the job's changes up to `change` are stored.
     void mark_job_stored(const std::string& job, std::uint64_t change, timestamp now);
     void mark_batch_stored(const store_batch& batch);
-    /// The round could not be stored; its changes go into the next one.
+    /// Records that the batch could not be stored; its changes go into the next one.
     void mark_batch_failed(const store_batch& batch);
-    /// Forgets jobs whose final phase has been stored for `keep` and that have no run left; returns them.
+    /// Removes jobs whose final phase has been stored for `keep` and that have no run left; returns them.
     std::vector<std::pair<std::string, job_phase>> remove_final_jobs(timestamp now, milliseconds keep);
 
   private:
@@ -220,7 +226,7 @@
     void stop_job_runs(job_state& job, timestamp now);
     void finish_job(job_state& job, job_phase phase, timestamp now);
 
-    // VMs that end under tasks.
+    // VMs that end while running tasks.
     void process_vm_end(const vm_end& end, end_certainty certainty, timestamp now);
     void record_unresponsive_vms(timestamp now);
     [[nodiscard]] bool is_part_of_mass_loss(const vm_end& end) const;
@@ -275,7 +281,7 @@
     std::map<std::string, job_state, std::less<>> m_jobs;
     vm_table m_vms;
     std::set<std::string>
-        m_unconfirmed_vms; ///< VMs that may run tasks of an earlier owner and did not report yet.
+        m_unconfirmed_vms; ///< VMs that may run tasks of a previous owner and did not report yet.
     timestamp m_takeover_deadline;
     bool m_takeover_completed = false;
     std::set<std::string> m_changed_jobs; ///< Jobs to store.
@@ -285,27 +291,28 @@
     std::int64_t m_runnable_work = 0;
     std::int64_t m_upcoming_work = 0;
     std::int64_t m_late_work = 0;
-    milliseconds m_wall_offset{0}; ///< Time of day less our clock, as of the last decision.
+    milliseconds m_wall_offset{0}; ///< Time of day minus the owner's clock, as of the last decision.
     work_gauge m_work_gauge;
     demand_meter m_demand_meter;
     label_meters m_label_meters;
     bool m_starts_held = false;
     std::size_t m_arriving_vms = 0;
     std::size_t m_obtainable_vms = 0;
-    /// Job, occurrence and step -> the VMs that may run it; only for queues with a policy.
+    /// Job, occurrence and step -> the VMs that may run the step; only for queues with a policy.
     std::map<std::tuple<std::string, std::uint32_t, std::uint32_t>, step_advice> m_advice;
-    std::set<task_id> m_suspects; ///< Tasks under which VMs have ended.
+    std::set<task_id> m_suspects; ///< Tasks with crash evidence recorded against them.
     recent_vm_ends m_recent_ends;
-    std::map<std::string, std::string> m_unresponsive_vms; ///< Whose end is not certain; to their machine.
-    std::vector<std::string>
-        m_ended_unconfirmed_vms;            ///< VMs of the earlier owner that crashed before they answered.
-    std::string m_last_suspect_job;         ///< Job of the suspected task that was started last ...
-    timestamp m_last_suspect_started_at{0}; ///< ... and when.
-    bool m_has_suspect_marks = false;       ///< VMs are marked as those where suspected tasks run.
-    bool m_isolation_lacks_vm = false;      ///< A task to be isolated finds no VM without long-running ones.
+    std::map<std::string, std::string>
+        m_unresponsive_vms; ///< VMs whose end is not confirmed -> their machine.
+    /// VMs of the previous owner that crashed before they reported.
+    std::vector<std::string> m_ended_unconfirmed_vms;
+    std::string m_last_suspect_job;         ///< Job of the suspected task that was started last.
+    timestamp m_last_suspect_started_at{0}; ///< When the last suspected task was started.
+    bool m_has_suspect_marks = false;       ///< VMs are marked as running suspected tasks.
+    bool m_isolation_lacks_vm = false;      ///< A task to be isolated finds no VM without long-running tasks.
     start_window m_start_window;
     std::optional<std::int64_t>
-        m_sustained_millicores; ///< While starts are held back; as of the last decision.
+        m_sustained_millicores; ///< Set while starts are held back; as of the last decision.
     decisions m_pending_decisions;
 };
 
--- a/jobs/scheduler_decide.cpp
+++ b/jobs/scheduler_decide.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-/// A checkpointed task on a VM that is to be emptied is stopped and resumed elsewhere if it has at least this
-/// share of its work left; a task that is nearly done ends sooner where it is.
+/// A checkpointed task on a VM that is being evacuated is stopped and resumed elsewhere if its progress is
+/// below this percentage; a task that is nearly done ends sooner where it is.
 constexpr std::int64_t nearly_done_percent = 60;
-/// A serving task whose tail is above this share of its target has its leftover neighbours slowed, so that
-/// the target is never passed for long; above the target they are halted.
+/// Above this ratio of a serving task's tail latency to its target, best-effort tasks on the same VM are
+/// slowed, so that the target is never exceeded for long; above the target they are halted.
 constexpr double tail_warning_ratio = 0.75;
 constexpr double tail_good_ratio = 0.5;
-constexpr int pace_increment_percent =
-    20; ///< Percent a report, so that a neighbour's effect shows before the next rise.
+/// Percent per report, so that the effect of an increase shows before the next one.
+constexpr int pace_increment_percent = 20;
 constexpr int min_pace_percent = 10;
-/// Without any progress for this long a run counts as stuck. Reports come every two seconds at least.
+/// A run without any progress for this long counts as stuck. Reports arrive at least every two seconds.
 constexpr milliseconds stuck_after = 4500ms;
 
 } // namespace
@@ -62,10 +62,11 @@
     }
 }
 
-/// A run counts as at work only while its VM answers: a VM that went dark takes its runs with it before their
-/// lease has run out, and moving another task meanwhile would pass the step's disruption budget. Nor does a
-/// run count that an earlier owner may have stopped just before it lost the pool: its VM lists it as running
-/// until it has ended, and a new owner that goes on emptying VMs would stop as many again.
+/// A run counts as available only while its VM responds: the runs of a VM that goes dark are lost before
+/// their lease expires, and moving another task meanwhile would exceed the step's disruption budget. A run
+/// that a previous owner may have stopped just before it lost the pool doesn't count either: its VM lists it
+/// as running until it has ended, and a new owner that continues to evacuate VMs would stop as many runs
+/// again.
 bool scheduler::is_available(const run& item, timestamp now) const {
     if (item.adopted && now - item.started_at <= m_settings.max_stop_time) {
         return false;
@@ -104,8 +105,8 @@
                 const bool stopping =
                     item.phase == run_phase::stopping ||
                     (item.phase == run_phase::unconfirmed && item.stop_sent_at != timestamp(0));
-                // Not to a VM that doesn't answer: its lease renewals find out when it does, and stops
-                // repeated for all that may run there would fill a narrow link.
+                // Stops aren't repeated to a VM that doesn't respond: its lease renewals detect when it does,
+                // and repeated stops for all runs that may be there would fill a narrow link.
                 if (stopping && vm.reachable && item.stop_acked_at == timestamp(0) &&
                     now - item.stop_sent_at >= m_settings.stop_retry_interval) {
                     stop_run(id, item, now);
@@ -143,11 +144,11 @@
                 continue;
             }
             if (!step.long_running && (!step.checkpointed || item.percent >= nearly_done_percent)) {
-                continue; // It ends by itself soon.
+                continue; // The run ends soon.
             }
             const bool budgeted = step.long_running && step.disruption_budget > 0;
             if (budgeted && unavailable_tasks(job, {id.occurrence, id.step}, now) >= step.disruption_budget) {
-                continue; // Its turn comes when the others of its step are at work again.
+                continue; // Evacuated once other tasks of its step are available again.
             }
             add_note("evacuate", name, &id, item.attempt);
             stop_run(id, item, now);
@@ -193,9 +194,9 @@
     }
 }
 
-// --- Placing ---
+// --- Placement ---
 
-/// One occurrence that has tasks to place.
+/// One occurrence of a job that has tasks to place.
 struct scheduler::candidate {
     job_rank rank;
     job_state* job;
@@ -232,10 +233,10 @@
     m_sustained_millicores = m_start_window.sustained_millicores(now);
 }
 
-/// What is still waiting after placing. Work that is late already doesn't stand before anybody and is counted
-/// apart; nor does an occurrence that is not due: with all of them counted, a job of six occurrences in half
-/// a minute kept out every other job of its pool, which idled meanwhile. Machines are asked for ahead of due
-/// times.
+/// Measures the work that is still waiting after placement. Work that is already late doesn't delay other
+/// jobs and is counted separately. Occurrences that aren't due yet don't count as waiting either: if they
+/// did, a job of six occurrences in half a minute would keep every other job out of its pool while the pool
+/// is idle. Machines are requested ahead of due times.
 void scheduler::measure_waiting_work(timestamp now) {
     m_waiting_work = 0;
     m_runnable_work = 0;
@@ -288,7 +289,7 @@
         const bool placed =
             place_task(job, id, std::max(task.attempts, m_first_attempt) + 1, step.data_rack, now);
         if (!placed && task.crashes.empty()) {
-            return; // All tasks of a step are alike: where one finds no room, none does.
+            return; // All tasks of a step are alike: if one finds no capacity, none does.
         }
     }
 }
@@ -335,7 +336,7 @@
     return &m_advice[{job.spec().id, position.occurrence, position.step}];
 }
 
-/// Asks about VMs that nothing is known of, one question for a step at a time.
+/// Requests advice about VMs without valid advice, with one request in flight for each step.
 void scheduler::request_advice(const job_state& job, step_position position, step_advice& advice,
                                timestamp now) {
     if (advice.is_pending(now)) {
@@ -354,8 +355,8 @@
     m_pending_decisions.advice_requests.push_back(std::move(request));
 }
 
-/// A gang starts whole or not at all: members that wait for the rest hold room that others could use, and
-/// end when they wait too long.
+/// A gang starts whole or not at all: members that wait for the rest occupy capacity that other tasks could
+/// use, and end when they wait too long.
 void scheduler::place_gang(job_state& job, step_position position, timestamp now) {
     const step_spec& step = job.spec().steps[position.step];
     if (job.idle_tasks(position) != step.count || !m_start_window.can_send(now)) {
--- a/jobs/scheduler_runs.cpp
+++ b/jobs/scheduler_runs.cpp
@@ -40,7 +40,7 @@
     const step_spec& step = job.spec().steps[id.step];
     clear_suspicion(job, id, "done");
     if (step.long_running) {
-        return; // It is to run until it is cancelled: however it ends, it starts again.
+        return; // A long-running task runs until it is cancelled: however it ends, it is started again.
     }
     const auto finish_task = [&](const task_id& item) {
         clear_suspicion(job, item, "done");
@@ -75,13 +75,14 @@
     const task_id counted = step.gang ? job.id_of({id.occurrence, id.step}, 0) : id;
     task_state& state = job.task(counted);
     if (std::ranges::find(state.failed_attempts, attempt) != state.failed_attempts.end()) {
-        return; // Counted and stored by an earlier owner, or the gang's other members failed with it.
+        // A previous owner counted and stored this attempt, or other members of the gang failed with it.
+        return;
     }
     state.failed_attempts.push_back(attempt);
     job.task(id).failed_on.push_back(vm.info().incarnation);
     mark_changed(job, false);
     const queue_settings& queue = *queue_of(job);
-    // A queue that the configuration no longer names states no bound any more.
+    // A queue that the configuration no longer names has no limit of attempts.
     if (state.failed_attempts.size() >= queue.max_attempts && !queue.name.empty()) {
         add_note("job-failed", vm.info().incarnation, &counted, attempt);
         finish_job(job, job_phase::failed, now);
@@ -129,7 +130,7 @@
     return found != m_jobs.end() && found->second.contains(id);
 }
 
-/// Precondition: knows_task(item.task).
+/// Precondition: has_task(item.task).
 void scheduler::process_running(vm_state& vm, const running_report& item, const vm_report& report,
                                 timestamp now) {
     const std::string& incarnation = vm.info().incarnation;
@@ -161,7 +162,7 @@
         (known->phase == run_phase::unconfirmed && known->stop_sent_at == timestamp(0))) {
         known->phase = run_phase::running;
     } else if (known->phase == run_phase::unconfirmed) {
-        known->phase = run_phase::stopping; // It did start, and its stop is on the way.
+        known->phase = run_phase::stopping; // The run did start, and its stop is in flight.
     }
     known->confirmed_clock = report.clock_ms;
     if (known->percent != item.percent || known->progress_at == timestamp(0)) {
@@ -177,11 +178,11 @@
     }
 }
 
-/// Runs of jobs that are not known here: their job was cancelled or has ended, and its record is gone. They
-/// are kept until the VM no longer reports them. Answers an owner that is removed while the runs of a
-/// cancelled job are being stopped: with one stop for each report, a lost one left such a run alone until the
-/// VM's next report, and for its whole lease where the VM was no longer listed and so not looked at again;
-/// and other tasks were started in the room that it still held.
+/// Records runs of jobs that this owner doesn't know: the job was cancelled or has ended, and its record is
+/// removed. Such runs are kept until the VM no longer reports them. An owner can be removed while the runs of
+/// a cancelled job are being stopped. With one stop for each report, a lost stop would leave such a run until
+/// the VM's next report, and for its whole lease if the VM is no longer listed and so not polled again, while
+/// other tasks are started in the capacity that the run still occupies.
 void scheduler::process_orphans(vm_state& vm, const vm_report& report) {
     std::vector<running_report> unknown;
     std::ranges::copy_if(report.running, std::back_inserter(unknown),
@@ -191,8 +192,8 @@
     }
 }
 
-/// Runs of ours that the VM lists neither as running nor as ended. A report tells of its own moment on the
-/// VM's clock; it settles a run only if it is newer than the last word on that run.
+/// Drops this owner's runs that the VM lists neither as running nor as ended. A report describes one moment
+/// on the VM's clock; it resolves a run only if it is newer than the last confirmation of that run.
 void scheduler::drop_missing_runs(vm_state& vm, const vm_report& report, timestamp now) {
     const std::string incarnation = vm.info().incarnation;
     std::set<std::pair<task_id, std::uint32_t>> listed;
--- a/jobs/scheduler_suspects.cpp
+++ b/jobs/scheduler_suspects.cpp
@@ -7,16 +7,17 @@
 
 namespace {
 
-/// A suspected task waits this long for room on the VMs that suspected tasks run on already.
+/// Time that a suspected task waits for capacity on VMs that already run suspected tasks.
 constexpr milliseconds spread_delay = 1500ms;
-/// A task to be isolated waits this long for a VM without long-running tasks; machines come within it.
+/// Time that a task to be isolated waits for a VM without long-running tasks; machines arrive within it.
 constexpr milliseconds isolation_timeout = 2500ms;
-/// What runs on a VM that has been silent for so long is noted in the store, so that it outlives the owner.
+/// Runs on a VM that has been unresponsive for this long are recorded in the store, so that the record
+/// survives the owner.
 constexpr milliseconds unresponsive_record_delay = 250ms;
-/// Suspected tasks of different jobs start this far apart, so that what they do to their VMs doesn't look
-/// like a loss of many.
+/// Interval between starts of suspected tasks of different jobs, so that the crashes that they cause don't
+/// look like a mass loss.
 constexpr milliseconds suspect_start_interval = 120ms;
-/// One of so many usable VMs may be kept for isolated tasks at a time.
+/// At most one in this many usable VMs may be reserved for isolated tasks at a time.
 constexpr std::size_t isolated_vm_divisor = 4;
 
 bool accepts_work(const vm_state& vm) {
@@ -29,7 +30,7 @@
 
 void scheduler::process_vm_end(const vm_end& end, end_certainty certainty, timestamp now) {
     if (end.cause == vm_end_cause::ordered) {
-        process_unresponsive_vm_response(end.vm, now); // Its silence was that of the order.
+        process_unresponsive_vm_response(end.vm, now); // The order made the VM unresponsive.
         return;
     }
     const bool mass = is_part_of_mass_loss(end);
@@ -37,7 +38,7 @@
         m_recent_ends.add(end.vm, end.unresponsive_since, now);
     }
     for (const suspect_run& item : find_suspect_runs(end, mass)) {
-        // A run that has lasted longer than proven_after isn't blamed, so its age fits.
+        // A run that has lasted longer than proven_after is no suspect, so the age fits.
         const auto age = static_cast<std::uint16_t>(item.age.count());
         add_crash_evidence(item.task, {end.vm, item.kind, certainty, age}, now);
     }
@@ -48,7 +49,8 @@
     }
 }
 
-/// An owner that dies between a crash and the VM's next life would take what it knows with it.
+/// Without this record, an owner that dies between a crash and the VM's next incarnation would lose the
+/// evidence.
 void scheduler::record_unresponsive_vms(timestamp now) {
     if (m_suspects.empty()) {
         std::erase_if(m_unresponsive_vms, [this](const auto& item) { return !m_vms.contains(item.first); });
@@ -93,7 +95,7 @@
     update_suspicion(id, name_of(evidence.certainty), now);
 }
 
-/// After a change of what is held against the task, which is stored before the task starts again.
+/// Updates the suspicion level after a change of the evidence, which is stored before the task starts again.
 void scheduler::update_suspicion(const task_id& id, std::string_view reason, timestamp now) {
     job_state& job = m_jobs.find(id.job)->second;
     task_state& task = job.task(id);
@@ -114,7 +116,7 @@
     finish_job(job, job_phase::failed, now);
 }
 
-/// What the culprit's VMs held against tasks of other jobs hardly counts any more.
+/// Reduces the weight of evidence against tasks of other jobs that comes from the culprit's VMs.
 void scheduler::mark_explained_by(const task_state& culprit, const std::string& job) {
     for (const task_id& id : m_suspects) {
         if (id.job == job) {
@@ -149,7 +151,7 @@
     mark_changed(job, false);
 }
 
-/// What an earlier owner stored.
+/// Restores the evidence that a previous owner stored.
 void scheduler::restore_suspicions(const job_state& restored) {
     if (is_final(restored.phase())) {
         return;
@@ -182,7 +184,7 @@
     return found;
 }
 
-/// The VM was cut off or busy, and nothing crashed it.
+/// Withdraws the evidence from a VM that was only cut off or busy: nothing crashed it.
 void scheduler::process_unresponsive_vm_response(const std::string& vm, timestamp now) {
     if (m_unresponsive_vms.erase(vm) == 0) {
         return;
@@ -208,7 +210,7 @@
         return;
     }
     for (const task_id& id : suspects_on(vm)) {
-        // Another suspect may just have been given up, and others of its job with it.
+        // Another suspect may just have been given up, and with it the other tasks of its job.
         if (m_suspects.contains(id)) {
             add_crash_evidence(id, {vm, evidence_kind::shared, end_certainty::ended, 0}, now);
         }
@@ -227,9 +229,9 @@
     }
 }
 
-/// An earlier owner may have started a suspected task on a VM that has crashed since, and may have died
-/// before it heard of that. Answers owners that are killed one after the other while a task crashes VMs:
-/// each would begin to count anew.
+/// A previous owner may have started a suspected task on a VM that has crashed since, and may have died
+/// before it learned of the crash. Without this inference, owners that are killed one after the other while a
+/// task crashes VMs would each restart the count.
 void scheduler::infer_crash_evidence(timestamp now) {
     std::set<std::string> known;
     for (const task_id& id : m_suspects) {
@@ -257,14 +259,14 @@
     }
 }
 
-// --- Placing ---
+// --- Placement ---
 
 std::size_t scheduler::usable_vm_count() const {
     return static_cast<std::size_t>(
         std::ranges::count_if(m_vms, [](const auto& item) { return accepts_work(item.second); }));
 }
 
-/// Notes on the VMs where suspected tasks run, and ends the isolation of those that no task needs any more.
+/// Marks the VMs where suspected tasks run, and ends the isolation of VMs that no task needs any more.
 void scheduler::mark_suspect_vms() {
     if (m_suspects.empty() && !m_has_suspect_marks) {
         return;
@@ -320,7 +322,7 @@
     return choose_vm_for_suspect(m_vms, job, id, m_settings.placement, advice, near_rack, may_widen, now);
 }
 
-/// Runs of other jobs on the VM that could be blamed if it ended now.
+/// Counts the runs of other jobs on the VM that could be blamed if the VM ended now.
 std::size_t scheduler::unproven_runs_of_other_jobs(const vm_state& vm, const std::string& job,
                                                    timestamp now) const {
     std::size_t count = 0;
@@ -335,8 +337,9 @@
     return count;
 }
 
-/// A VM for a task that is to run where no other job's run can be blamed. One is kept for its job until what
-/// runs there has ended or is proven, so that a pool without an empty VM isolates tasks, too.
+/// Chooses a VM for a task that must run where no other job's run can be blamed. The VM is reserved for the
+/// task's job until the runs there have ended or are proven, so that a pool without an empty VM can isolate
+/// tasks, too.
 vm_state* scheduler::choose_isolated_vm(const job_state& job, const task_id& id, const step_advice* advice,
                                         timestamp now) {
     const std::string& name = job.spec().id;
--- a/jobs/scheduler_vms.cpp
+++ b/jobs/scheduler_vms.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// A VM answers with at most this many ends; with more waiting, its list says nothing about what is missing.
+/// Maximum number of ends in a VM's report; a full report doesn't show which runs are missing.
 constexpr std::size_t ends_in_full_report = 500;
-/// How long a VM that calls itself unhealthy is left alone.
+/// Time for which a VM that reports itself unhealthy gets no starts.
 constexpr milliseconds unhealthy_pause = 1s;
 
 } // namespace
@@ -71,8 +71,8 @@
     }
     vm_state& vm = found->second;
     if (!vm.has_responded()) {
-        // An earlier owner may have granted a whole lease just before: without this, runs that are adopted
-        // here look lapsed until our first renewal is answered, and are started a second time.
+        // A previous owner may have granted a whole lease just before: without this, adopted runs would seem
+        // expired until this owner's first renewal is answered, and would be started a second time.
         vm.record_granted_deadline(report.clock_ms + m_settings.lease.count());
     }
     vm.record_response(report.clock_ms, now);
@@ -100,11 +100,12 @@
     adjust_pace(vm);
 }
 
-/// A machine holds one life of a VM at a time. A VM of the earlier owner's record was alive before this owner
-/// began, so a later life of its machine that answers this owner shows that it has ended. Answers VMs that
-/// crash while nobody can take over, such as in an outage of the store: the new owner can't reach them, they
-/// still stand in its pool, and all tasks that it had not found yet waited for the longest lease to run out.
-/// That a later life is registered isn't enough: the last heartbeat of an ended one can bring its entry back.
+/// A machine runs one incarnation of a VM at a time. A VM in the previous owner's record was alive before
+/// this owner started, so a later incarnation on the same machine that reports to this owner proves that the
+/// VM has ended. VMs can crash while no node can take over, such as in an outage of the store: the new owner
+/// can't reach them, they are still in its pool, and all tasks that it has not found yet would wait for the
+/// longest lease to expire. The registration of a later incarnation is no proof: the last heartbeat of an
+/// ended one can restore its entry.
 void scheduler::end_superseded_incarnations(const vm_info& alive, timestamp now) {
     std::vector<std::string> ended;
     for (const std::string& name : m_unconfirmed_vms) {
@@ -135,7 +136,7 @@
     const auto item = std::ranges::find_if(
         task.runs, [&](const run& one) { return one.attempt == order.attempt && one.vm == order.vm; });
     if (item == task.runs.end()) {
-        return; // Its end was reported before this answer, or its VM is gone.
+        return; // The run's end was reported before this answer, or its VM is gone.
     }
     switch (outcome) {
     case order_outcome::accepted:
@@ -152,8 +153,9 @@
         }
         if (item->phase == run_phase::starting) {
             item->phase = run_phase::unconfirmed;
-            // A stop settles it soonest. But a long-running task that is there is at work, and stopping it
-            // would take it away from its users: there a report after the start's deadline settles it.
+            // A stop resolves the run soonest. A long-running task that did start is serving its users,
+            // though, and a stop would make it unavailable: its run is resolved by a report after the start's
+            // deadline.
             if (!job->second.spec().steps[order.task.step].long_running) {
                 stop_run(order.task, *item, now);
             }
@@ -185,7 +187,7 @@
     }
     for (run& item : job->second.task(order.task).runs) {
         if (item.attempt == order.attempt && item.vm == order.vm) {
-            // From here on a run that isn't there can't come any more: a newer report settles it.
+            // From now on a run that isn't there can't start any more: a newer report resolves it.
             item.stop_acked_at = now;
             item.confirmed_clock = std::max(item.confirmed_clock, clock_ms);
         }
@@ -214,13 +216,12 @@
 std::int64_t scheduler::grant_lease_renewal(const std::string& vm, timestamp now) {
     const auto found = m_vms.find(vm);
     if (found == m_vms.end() || !found->second.reachable) {
-        // A renewal that is not answered may still arrive. Were it to carry a new deadline, the lease of a VM
-        // that is silent would never have run out for certain, and its runs would never start again
-        // elsewhere.
+        // A renewal that is not answered may still arrive. If it carried a new deadline, the lease of an
+        // unresponsive VM would never certainly expire, and its runs would never start again elsewhere.
         return 0;
     }
     if (found->second.tasks().empty() && !found->second.orphans().empty()) {
-        return 0; // All that runs there is unwanted. Where no stop arrives, its lease ends it.
+        return 0; // All runs there are unwanted. Where no stop arrives, the expiry of the lease ends them.
     }
     const std::int64_t deadline = found->second.lease_deadline(now, m_settings.lease);
     if (deadline > 0) {
@@ -229,9 +230,9 @@
     return deadline;
 }
 
-/// A VM with as many short tasks hears of an end within the time of a close look anyway, so that close looks
-/// cost few calls more. A look whose answer is lost is found out about as much sooner: until then no end on
-/// the VM is heard of and no room there is used again.
+/// A VM with this many short tasks reports an end within the interval of frequent polls anyway, so that
+/// frequent polls cost few additional calls. A poll whose answer is lost is detected about as much sooner:
+/// until then no end on the VM is known and no free capacity there is used again.
 bool scheduler::needs_frequent_polling(const std::string& name) const {
     const auto found = m_vms.find(name);
     if (found == m_vms.end()) {
--- a/jobs/suspicion.cpp
+++ b/jobs/suspicion.cpp
@@ -7,29 +7,31 @@
 
 namespace {
 
-// In half crashes.
+// Weights are in half crashes.
 constexpr int crash_weight = 2;
 constexpr int uncertain_weight = 1;
-/// Three crashes give a task up if it was alone at the last one. Two could still be chance.
+/// Three crashes give a task up if it was alone at the last one. Two could still be coincidence.
 constexpr int give_up_weight_alone = 3 * crash_weight;
-/// Four do in company. The users' bound is the third start after the third crash.
+/// Without that, four crashes are needed. The users require that no third start follows the third crash.
 constexpr int give_up_weight_shared = 4 * crash_weight;
-/// Ends that no other task explains give it up in any case; the start after it could be that third one.
+/// Ends that no other task explains give a task up at this number in any case; the start after the last of
+/// them could be that third one.
 constexpr std::size_t max_unexplained_ends = 5;
 constexpr int isolation_weight = crash_weight + uncertain_weight;
-/// A program that crashes its VM does so at about the same point each time, but for the load of the VM and
-/// for how soon its silence shows. Ends of VMs that have nothing to do with it come at any time.
+/// Difference of ages within which crashes count as the same. A program that crashes its VM does so at about
+/// the same point each time, apart from the load of the VM and the time until it is found unresponsive.
+/// Unrelated ends of VMs come at any age.
 constexpr int same_age_tolerance_ms = 300;
 
-/// VMs that lose power together are found silent within this time of each other, where their connections
+/// VMs that lose power together are found unresponsive within this time of each other if their connections
 /// break.
 constexpr milliseconds simultaneous_within = 60ms;
 constexpr std::size_t min_mass_loss = 3;
-constexpr std::size_t mass_loss_divisor = 4; ///< One of so many VMs of the pool.
-/// Ends older than this are together with none that is still to come.
+constexpr std::size_t mass_loss_divisor = 4; ///< One in this many VMs of the pool.
+/// Ends older than this can't coincide with a later end.
 constexpr milliseconds end_retention = 20s;
 
-constexpr std::size_t at_risk_divisor = 3; ///< One of so many usable VMs.
+constexpr std::size_t at_risk_divisor = 3; ///< One in this many usable VMs.
 constexpr std::size_t min_vms_at_risk = 2;
 
 int weight_of(const crash_evidence& item) noexcept {
@@ -46,7 +48,7 @@
     return weight_of(item) == crash_weight;
 }
 
-/// Weight of the crashes that came at about the same age of their runs: the most that are.
+/// Weight of the largest group of crashes that came at about the same age of their runs.
 int weight_at_same_age(std::span<const crash_evidence> evidence) noexcept {
     std::ptrdiff_t most = 0;
     for (const crash_evidence& youngest : evidence) {
--- a/jobs/suspicion.hpp
+++ b/jobs/suspicion.hpp
@@ -13,23 +13,24 @@
 
 namespace siskinpaddle::jobs {
 
-/// How the end of a VM speaks against a task that ran there.
+/// Kind of evidence that the end of a VM is against a task that ran there.
 enum class evidence_kind : std::uint8_t {
-    alone,     ///< No other job had a run there that could have caused it.
-    shared,    ///< Other jobs had.
-    inferred,  ///< The VM ended under an earlier owner; that the task ran there is likely, not known.
-    explained, ///< A task that was given up since had run there, too.
-    mass       ///< A good part of the pool's VMs ended together: a rack, an availability zone, a switch.
+    alone,     ///< No other job had a run there that could have caused the end.
+    shared,    ///< Other jobs had such runs, too.
+    inferred,  ///< The VM ended under a previous owner; that the task ran there is likely, not confirmed.
+    explained, ///< A task that has been given up since had run there, too.
+    mass ///< A large part of the pool's VMs ended together, as with a rack, an availability zone or a switch.
 };
 
-/// How sure it is that the VM has ended.
+/// How certain it is that the VM has ended.
 enum class end_certainty : std::uint8_t {
-    unresponsive,  ///< It has not answered for a while. Held against nobody; noted in case its owner dies.
-    lease_expired, ///< Silent past its lease: it may have crashed, or live behind a partition.
-    ended          ///< Another life shows it.
+    unresponsive,  ///< Unresponsive for a while. Counts against no task; recorded in case the owner dies.
+    lease_expired, ///< Unresponsive past its lease: it may have crashed, or run behind a partition.
+    ended          ///< Another incarnation confirms the end.
 };
 
-/// A life of a VM that ended, or may have, under a run of a task. Each life counts once against a task.
+/// An incarnation of a VM that ended, or may have ended, while running a task. Each incarnation counts once
+/// against a task.
 struct crash_evidence {
     std::string vm;
     evidence_kind kind = evidence_kind::shared;
@@ -44,27 +45,28 @@
     }
 };
 
-/// What is held against a task.
+/// Suspicion level of a task, from the crash evidence recorded against it.
 enum class suspicion : std::uint8_t {
     none,
-    noted,     ///< A VM ended under it, in a way that hardly speaks against it.
-    suspected, ///< It runs apart from other suspected tasks, where it harms least.
-    isolated,  ///< It runs where no other job's run can be blamed for what happens to the VM.
+    noted,     ///< A VM ended while running it, but the evidence is weak.
+    suspected, ///< Runs apart from other suspected tasks, where the end of the VM does least harm.
+    isolated,  ///< Runs where no other job's run can be blamed for the end of the VM.
     given_up   ///< It has crashed VMs: its job fails.
 };
 
-/// Judges a task by the VMs that ended under it, oldest first. Pure; thread-safe.
+/// Derives the suspicion level of a task from the VMs that ended while running it, oldest first. Pure;
+/// thread-safe.
 ///
-/// A program that crashes its VM does so at about the same age of its run: of the crashes those count that
-/// came at one age, the most that did. Ends that may have other causes count by half. A task is given up at
-/// three crashes, if it was alone at the last one, else at four, and in any case at the fifth end in a row
-/// that no other task explains. Answers a task that crashes every VM that starts it: without a bound it takes
-/// its pool down, one VM after the other. A task that only ran beside such a one is isolated for one run at
-/// most, ends it, and is cleared.
+/// A program that crashes its VM does so at about the same age of its run: of the crashes, the largest group
+/// that came at one age counts. Ends that may have other causes count half. A task is given up at three
+/// crashes if it was alone at the last one, else at four, and in any case at the fifth end in a row that no
+/// other task explains. Without this limit, a task that crashes every VM that starts it would crash all VMs
+/// of its pool, one after the other. A task that only ran beside such a task is isolated for at most one run,
+/// completes it, and is cleared.
 [[nodiscard]] suspicion suspicion_of(std::span<const crash_evidence> evidence) noexcept;
 
-/// A run that has lasted this long did not crash its VM by being started there; ends of VMs say nothing
-/// against it, and what was held against its task is forgotten.
+/// A run that has lasted this long did not crash its VM by being started there: the end of the VM is no
+/// evidence against it, and earlier evidence against its task is removed.
 inline constexpr milliseconds proven_after = 5s;
 
 /// Evidence against the task of one run that ended with its VM.
@@ -76,18 +78,18 @@
     bool operator==(const suspect_run&) const = default;
 };
 
-/// Says what the end of a VM holds against the tasks that ran there; nothing for one that was ordered or
-/// announced. `mass`: so many others ended with it that the cause lies outside. Pure; thread-safe.
+/// Returns the evidence that the end of a VM is against the tasks that ran there; none if the end was ordered
+/// or announced. `mass`: so many VMs ended at the same time that the cause is external. Pure; thread-safe.
 [[nodiscard]] std::vector<suspect_run> find_suspect_runs(const vm_end& end, bool mass);
 
-/// Remembers when VMs of a pool went silent for good, to tell a loss of many from single crashes. Not
+/// Records when ended VMs of a pool became unresponsive, to distinguish a mass loss from single crashes. Not
 /// thread-safe.
 class recent_vm_ends {
   public:
     /// Precondition: `silent_from` is not later than `now`.
     void add(const std::string& vm, timestamp unresponsive_since, timestamp now);
-    /// VMs that went silent about when this one did, it included. `silent`: those that do not answer now and
-    /// have not ended yet.
+    /// Counts the VMs that became unresponsive at about `silent_from`, including that VM itself. `silent`:
+    /// when VMs that are unresponsive now and have not ended yet became so.
     [[nodiscard]] std::size_t count_simultaneous(timestamp unresponsive_since,
                                                  std::span<const timestamp> unresponsive) const;
 
@@ -99,11 +101,11 @@
     std::deque<ended_vm> m_entries;
 };
 
-/// Whether so many ends at a time are a loss of many, in a pool of `pool_vms`. Pure; thread-safe.
+/// Whether this many simultaneous ends are a mass loss in a pool of `pool_vms`. Pure; thread-safe.
 [[nodiscard]] bool is_mass_loss(std::size_t simultaneous, std::size_t pool_vms) noexcept;
 
-/// Most VMs of a pool that suspected tasks may run on at a time, so that they can't take the pool down.
-/// Pure; thread-safe.
+/// Maximum number of VMs of a pool that suspected tasks may run on at a time, so that they can't crash the
+/// whole pool. Pure; thread-safe.
 [[nodiscard]] std::size_t max_vms_at_risk(std::size_t usable_vms) noexcept;
 
 } // namespace siskinpaddle::jobs
--- a/tests/jobs/cancelled_jobs_test.cpp
+++ b/tests/jobs/cancelled_jobs_test.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/// What a job of three tasks may look like that is cancelled while its starts have no answer.
+/// A shape of a job of three tasks that is cancelled while its starts have no answer.
 struct cancelled_job_case {
     const char* name = "";
     bool gang = false;
@@ -14,7 +14,7 @@
 };
 
 constexpr cancelled_job_case cancelled_job_cases[] = {
-    {"tasks that end by themselves", false, false, false},
+    {"tasks that are not long-running", false, false, false},
     {"a gang", true, false, false},
     {"long-running tasks", false, true, false},
     {"occurrences", false, false, true},
@@ -43,19 +43,18 @@
     return rows;
 }
 
-/// Time after which an ended job may be forgotten.
+/// Time after which an ended job may be removed.
 constexpr milliseconds keep_ended = 3s;
 
 } // namespace
 
-TEST_CASE("a cancelled job stays known while a start of it without an answer may still come") {
-    // A cancelled report still runs minutes later. The answers to its starts were lost and it was cancelled;
-    // nothing of it was seen to run, so it would be forgotten and its VM left alone. Then the VM carried the
-    // starts out, and nobody looked.
+TEST_CASE("a cancelled job is kept while one of its unanswered starts may still arrive") {
+    // Guards against a run of a cancelled job that is never stopped: the answers to its starts are lost, no
+    // run is seen, and the job would be removed before its VM carries the starts out.
     for (const cancelled_job_case& shape : cancelled_job_cases) {
         for (const bool cancelled_first : {true, false}) {
             INFO(std::string(shape.name), cancelled_first ? ", cancelled before" : ", cancelled after",
-                 " the orders were given up");
+                 " the orders timed out");
             scheduler_fixture b;
             b.add_vm("v1");
             b.pool().add_job(cancelled_record(b, shape), b.now());
@@ -73,7 +72,7 @@
             }
             b.pool().mark_vm_delisted("v1");
             b.store_changes();
-            b.decide(); // Stops, none of which is answered.
+            b.decide(); // The stops are not answered.
             b.report("v1", {});
             CHECK(b.pool().remove_final_jobs(b.now() + 2 * keep_ended, keep_ended).empty());
             CHECK_FALSE(b.pool().is_releasable("v1"));
@@ -92,9 +91,9 @@
     }
 }
 
-TEST_CASE("a late start of a job that its owner has forgotten is stopped until it is gone") {
-    // A cancelled report runs on to the end of its lease. The VM carried its start out late, when the owner
-    // had already forgotten the job; the one stop that the owner sent was lost.
+TEST_CASE("a late start of a job that its owner has removed is stopped until the run is gone") {
+    // Guards against a run of a cancelled job that lasts until its lease expires: the VM carries its start
+    // out late, when the owner has already removed the job, and the only stop that the owner sends is lost.
     struct late_case {
         const char* name = "";
         bool listed = true; ///< The platform still lists the VM.
@@ -131,10 +130,10 @@
     }
 }
 
-TEST_CASE("a new owner stops what it finds of a job that was cancelled before, and gives nothing its room") {
-    // A VM is loaded over its capacity and its tasks crawl. Its owner cancelled a job and was removed while
-    // the runs were still being stopped; the record of a cancelled job is gone, so its successor knew nothing
-    // of what they use and started others beside them. Where the stop was lost, they also ran on.
+TEST_CASE("a new owner stops runs of a job cancelled before the takeover and does not reuse their capacity") {
+    // Guards against a VM loaded over its capacity, and against runs that are never stopped: an owner is
+    // removed while runs of a cancelled job are being stopped, whose record is gone, so the new owner doesn't
+    // know what the runs use and starts others beside them.
     scheduler_fixture b(1);
     b.pool().expect_vm(b.info("v1", 4));
     const task_id cancelled{"gone", 0, 0, 0};
@@ -152,32 +151,32 @@
     CHECK(second.starts.empty());
     CHECK(second.stops.size() == 1);
 
-    SUBCASE("it has ended") {
+    SUBCASE("the run has ended") {
         b.report("v1", {}, {{1, cancelled, 3, run_end::stopped, ""}});
         CHECK(b.decide().starts.size() == 4);
     }
-    SUBCASE("it is missing") {
+    SUBCASE("the run is missing") {
         b.report("v1", {});
         CHECK(b.decide().starts.size() == 4);
     }
-    SUBCASE("its lease has run out on a VM that does not answer") {
+    SUBCASE("the run's lease has expired on a VM that does not respond") {
         b.pool().handle_vm_unreachable("v1", b.now());
         b.advance_clock(20'000ms);
         b.decide();
         CHECK(b.pool().is_releasable("v1"));
     }
-    SUBCASE("nothing else runs there: its lease is not renewed") {
+    SUBCASE("nothing else runs on the VM: its lease is not renewed") {
         CHECK(b.pool().grant_lease_renewal("v1", b.now()) == 0);
     }
 }
 
-TEST_CASE("a cancelled job's run on a VM that answers its new owner late is stopped") {
-    // A cancelled job runs on although its cancelling was confirmed. It was cancelled around a change of
-    // owner while its VM was silent, so the new owner knew of no run to stop; by the time that the VM
-    // answered, the job was long told as cancelled, or forgotten.
+TEST_CASE("a cancelled job's run on a VM that reports late to its new owner is stopped") {
+    // Guards against a run of a cancelled job that continues after its cancellation was confirmed: the job is
+    // cancelled around a takeover while its VM is unresponsive, so the new owner knows of no run to stop, and
+    // reports the job as cancelled, or removes it, before the VM responds.
     for (const cancelled_job_case& shape : cancelled_job_cases) {
         for (const bool forgotten : {false, true}) {
-            INFO(std::string(shape.name), forgotten ? ", job forgotten" : ", job known");
+            INFO(std::string(shape.name), forgotten ? ", job removed" : ", job kept");
             scheduler_fixture b(1);
             b.pool().restore_job(cancelled_record(b, shape), std::nullopt, b.now());
             b.pool().expect_vm(b.info("v1"));
--- a/tests/jobs/crash_simulation.hpp
+++ b/tests/jobs/crash_simulation.hpp
@@ -12,40 +12,42 @@
 
 namespace siskinpaddle::tests {
 
-/// Replays a pool whose VMs crash, in steps of 10 ms: machines with one life of a VM after the other, tasks
-/// that run there, a store that holds what its owner wrote, and owners that die. The scheduler decides; all
-/// else is the replay's.
+/// Simulates a pool whose VMs crash, in steps of 10 ms: machines that run one incarnation of a VM after the
+/// other, tasks that run there, a store that holds what the pool's owner wrote, and owners that die. The
+/// scheduler decides; everything else is simulated.
 class crash_simulation {
   public:
     struct options {
         std::size_t machines = 8;
         milliseconds run_time{1000};
-        milliseconds down_time{3500};      ///< From a crash to the next life.
+        milliseconds down_time{3500};      ///< From a crash to the next incarnation.
         milliseconds crash_delay{10};      ///< From the start of a faulty task to the crash.
-        std::size_t jobs_per_s = 0;        ///< Sound jobs that arrive.
-        std::size_t tasks = 5;             ///< Of each of them.
+        std::size_t jobs_per_s = 0;        ///< Healthy jobs that arrive.
+        std::size_t tasks = 5;             ///< Of each of these jobs.
         std::int64_t cores = 5;            ///< Of each task; VMs have 32.
-        std::size_t faulty_one_in = 0;     ///< One of so many arriving jobs has a faulty task.
-        milliseconds arrivals{10'000};     ///< Jobs arrive for so long.
-        std::size_t unanswered_one_in = 0; ///< One of so many starts is carried out and gets no answer.
-        std::size_t late_one_in = 0; ///< One of so many is carried out two seconds late, if it still holds.
+        std::size_t faulty_one_in = 0;     ///< One in this many arriving jobs has a faulty task.
+        milliseconds arrivals{10'000};     ///< How long jobs arrive.
+        std::size_t unanswered_one_in = 0; ///< One in this many starts is carried out without an answer.
+        /// One in this many starts is carried out two seconds late, unless its deadline has passed.
+        std::size_t late_one_in = 0;
     };
     /// A job whose task of this index crashes the VMs that start it.
     struct faulty_job {
         std::string id;
         std::uint32_t index = 0;
     };
-    /// What is to hold in the end, from the VMs' and the store's records.
+    /// Results at the end, from the records of the VMs and the store.
     struct result {
-        std::size_t healthy_failed = 0;     ///< Sound jobs that were given up.
-        std::size_t healthy_unfinished = 0; ///< Sound jobs that are not completed.
+        std::size_t healthy_failed = 0;     ///< Healthy jobs that were given up.
+        std::size_t healthy_unfinished = 0; ///< Healthy jobs that are not completed.
         std::size_t faulty_not_failed = 0;  ///< Faulty jobs that are not shown as failed.
-        std::size_t starts_after_three_crashes =
-            0;                           ///< Most of a faulty task after three VMs had crashed under it.
-        std::size_t max_crashed_vms = 0; ///< VMs that were down at a time, crashed by a faulty task.
-        milliseconds longest_restart_delay{
-            0}; ///< Of a sound task under which a VM ended: from its loss to its start.
-        std::size_t suspects_left = 0; ///< Tasks that something is held against in the end.
+        /// Maximum for one faulty task, after three VMs had crashed under it.
+        std::size_t starts_after_three_crashes = 0;
+        /// Maximum number of VMs that were down at a time because of faulty tasks.
+        std::size_t max_crashed_vms = 0;
+        /// Longest time from the loss of a healthy task with its VM to its next start.
+        milliseconds longest_restart_delay{0};
+        std::size_t suspects_left = 0; ///< Tasks with crash evidence at the end.
     };
 
     explicit crash_simulation(options settings) : m_options(settings) {
@@ -59,7 +61,7 @@
         start_owner();
     }
 
-    /// Called each step; for disturbances.
+    /// Called in each step, to inject disturbances.
     std::function<void(milliseconds since_begin)> on_step;
 
     void add_job(const job_record& record, std::optional<std::uint32_t> faulty_index = {}) {
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Precondition: an owner is there.
+    /// Precondition: there is an owner.
     [[nodiscard]] result outcome() const {
         result all;
         for (const auto& [id, record] : m_records) {
@@ -105,11 +107,11 @@
 
     // --- Disturbances ---
 
-    /// Ends the present life of the machine's VM, `quiet`: without breaking connections.
+    /// Ends the current incarnation of the machine's VM. `quiet`: without breaking connections.
     void crash_vm(std::size_t machine, milliseconds down_time, bool quiet = false) {
         end_incarnation(m_machines[machine], down_time, quiet);
     }
-    /// The VM can't be reached for so long, and runs on.
+    /// Makes the VM unreachable for this time; it keeps running.
     void make_unreachable(std::size_t machine, milliseconds time) {
         m_machines[machine].unreachable_until = m_now + time;
     }
@@ -121,12 +123,12 @@
             m_owner->add_or_update_vm(info);
         }
     }
-    /// The owner dies; another takes over after `gap`.
+    /// Kills the owner; another takes over after `gap`.
     void kill_owner(milliseconds gap) {
         m_owner.reset();
         m_owner_at = m_now + gap;
     }
-    /// The store answers nothing until then.
+    /// Makes the store unresponsive for this time.
     void silence_store(milliseconds time) { m_store_until = m_now + time; }
     [[nodiscard]] std::size_t machines() const { return m_machines.size(); }
     [[nodiscard]] const std::string& rack_of(std::size_t machine) const { return m_machines[machine].rack; }
@@ -155,10 +157,11 @@
         std::optional<timestamp> next_incarnation_at; ///< Down until then.
         timestamp last_report_at{0};
         timestamp unreachable_until{0};
-        timestamp crashes_at{0}; ///< 0: not.
+        timestamp crashes_at{0}; ///< 0: no crash is due.
         std::int64_t sequence = 0;
-        bool crashed_by_faulty_task = false;           ///< Its last crash was a faulty task's.
-        std::vector<std::string> unreported_ended_vms; ///< Lives whose end no owner has heard of.
+        bool crashed_by_faulty_task = false; ///< A faulty task caused its last crash.
+        std::vector<std::string>
+            unreported_ended_vms; ///< Incarnations whose end has not been reported to any owner.
         timestamp lease_until{0};
     };
     struct late_order {
@@ -212,7 +215,7 @@
         }
     }
 
-    /// The other members of a gang end with the one that is lost.
+    /// Ends the other members of a gang with the lost one.
     void break_gang(const task_id& lost, const machine& where) {
         if (!m_records.at(lost.job).spec.steps[lost.step].gang) {
             return;
@@ -297,7 +300,7 @@
         begin_write();
     }
 
-    /// Ends runs whose time has come or whose lease is over; looks go by the owner's own interval.
+    /// Ends runs that are done or whose lease has expired. Reports follow their own interval.
     void end_finished_runs(machine& item) {
         if (item.next_incarnation_at) {
             return;
@@ -324,7 +327,7 @@
                                                                   : std::optional(run_end::done);
     }
 
-    /// Whether all members of the gang are there. Those that have just ended as done count.
+    /// Whether all members of the gang are present. Members that have just ended as done count.
     [[nodiscard]] bool is_complete(const start_order& order) const {
         std::size_t present = 0;
         const auto is_member = [&](const task_id& id, std::uint32_t attempt) {
@@ -444,7 +447,7 @@
         }
     }
 
-    /// Orders whose time has come, late ones at their VMs and missing answers at the owner.
+    /// Processes orders that are due: late ones at their VMs, and missing answers at the owner.
     void process_late_orders() {
         std::erase_if(m_late_orders, [&](const late_order& late) {
             machine* item = m_now >= late.due ? machine_of(late.order.vm) : nullptr;
@@ -519,7 +522,7 @@
     std::vector<pending_write> m_writes;
     timestamp m_store_until{0};
     std::map<std::string, std::uint32_t> m_faulty;
-    std::map<task_id, std::size_t> m_crashes; ///< VMs that faulty tasks have crashed.
+    std::map<task_id, std::size_t> m_crashes; ///< Number of VMs that each faulty task has crashed.
     std::map<task_id, std::size_t> m_starts_after_three_crashes;
     std::map<task_id, timestamp> m_lost_at;
     std::map<std::string, timestamp> m_delist_at;
--- a/tests/jobs/faulty_tasks_test.cpp
+++ b/tests/jobs/faulty_tasks_test.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// After three VMs have crashed under it a faulty task is started at most so often.
+/// Maximum number of starts of a faulty task after three VMs have crashed under it.
 constexpr std::size_t max_starts_after_three_crashes = 2;
-/// From a crash until its VM's next life shows it, and what an isolated start may wait for.
+/// Time from a crash until its VM's next incarnation confirms it, and the maximum delay of an isolated start.
 constexpr milliseconds max_restart_delay = 3500ms + 2500ms;
 constexpr milliseconds takeover_gap = 2200ms;
 
@@ -25,7 +25,7 @@
 
 using step_change = std::function<void(step_spec&)>;
 
-/// When the faulty job arrives: the pool is at work by then.
+/// When the faulty job arrives; the pool is running other jobs by then.
 constexpr milliseconds faulty_job_at = 3000ms;
 
 void add_faulty(crash_simulation& replay, std::uint32_t tasks, std::int64_t cores,
@@ -37,7 +37,7 @@
     replay.add_job(scheduler_fixture::record("faulty", {step}), 0);
 }
 
-/// A job arrives whose first task is faulty. At each of the moments after that something else happens.
+/// Adds a job whose first task is faulty, and calls `event` at each of the moments after that.
 std::function<void(crash_simulation&)>
 with_faulty_job(std::uint32_t tasks, std::int64_t cores, const step_change& change = {},
                 const std::vector<milliseconds>& moments = {},
@@ -54,7 +54,7 @@
     };
 }
 
-/// At each of the moments something happens; no task is faulty.
+/// Calls `event` at each of the moments; no task is faulty.
 std::function<void(crash_simulation&)>
 at_moments(const std::vector<milliseconds>& moments,
            const std::function<void(crash_simulation&, std::size_t)>& event) {
@@ -68,7 +68,7 @@
     };
 }
 
-/// Crashes the machines of a rack together.
+/// Crashes the machines of a rack at the same time.
 void lose_rack(crash_simulation& replay, const std::string& rack, milliseconds down_time, bool quiet) {
     for (std::size_t i = 0; i < replay.machines(); ++i) {
         if (replay.rack_of(i) == rack) {
@@ -84,16 +84,16 @@
     }
     replay.run(item.length);
     const crash_simulation::result result = replay.outcome();
-    MESSAGE(item.name, ": late starts ", result.starts_after_three_crashes, ", VMs down ",
-            result.max_crashed_vms, ", longest hold ", result.longest_restart_delay.count(), " ms");
+    MESSAGE(item.name, ": starts after three crashes ", result.starts_after_three_crashes, ", VMs down ",
+            result.max_crashed_vms, ", longest restart delay ", result.longest_restart_delay.count(), " ms");
     return result;
 }
 
 } // namespace
 
-// Guards against a task that takes its pool down VM by VM, and against sound ones that pay for what it does.
+// Guards against a task that crashes its pool VM by VM, and against healthy tasks that are given up for it.
 TEST_CASE("faulty tasks are given up, and only they") {
-    const milliseconds any_time = 60'000ms; // Where there is no room, or nobody decides for a while.
+    const milliseconds any_time = 60'000ms; // Where there is no capacity, or no owner decides for a while.
     const step_change gang = [](step_spec& step) { step.gang = true; };
     const step_change copies = [](step_spec& step) { step.speculative = true; };
     const step_change long_running = [](step_spec& step) { step.long_running = true; };
@@ -101,22 +101,22 @@
     const auto silence = [](crash_simulation& replay) { replay.silence_store(3000ms); };
     const std::vector<row> rows{
         {"alone on each VM", {}, with_faulty_job(1, 2)},
-        {"ten tasks of its own job beside it", {}, with_faulty_job(10, 2)},
-        {"beside five sound tasks a VM", {.jobs_per_s = 8}, with_faulty_job(1, 4)},
+        {"beside ten tasks of its own job", {}, with_faulty_job(10, 2)},
+        {"beside five healthy tasks per VM", {.jobs_per_s = 8}, with_faulty_job(1, 4)},
         {"a pool of two VMs", {.machines = 2, .jobs_per_s = 1}, with_faulty_job(4, 2), any_time},
         {"a pool of one VM", {.machines = 1, .jobs_per_s = 1, .tasks = 2}, with_faulty_job(1, 2), any_time},
         {"a full pool", {.machines = 6, .jobs_per_s = 7}, with_faulty_job(2, 4), any_time},
         {"a gang of which one is faulty", {.jobs_per_s = 2}, with_faulty_job(12, 4, gang)},
-        {"a step with copies", {.jobs_per_s = 2}, with_faulty_job(3, 4, copies)},
+        {"a step with speculative runs", {.jobs_per_s = 2}, with_faulty_job(3, 4, copies)},
         {"a long-running task", {.jobs_per_s = 2}, with_faulty_job(3, 4, long_running)},
-        {"it crashes its VM after half a second",
+        {"a crash half a second after the start",
          {.crash_delay = 500ms, .jobs_per_s = 4},
          with_faulty_job(2, 4)},
-        {"VMs that come back after their lease",
+        {"VMs that return after their lease",
          {.down_time = 9000ms, .jobs_per_s = 2},
          with_faulty_job(2, 4),
          any_time},
-        {"a tenth of a queue",
+        {"a tenth of the jobs of a queue",
          {.machines = 20, .jobs_per_s = 10, .faulty_one_in = 10},
          {},
          max_restart_delay,
@@ -134,7 +134,7 @@
          {.jobs_per_s = 3},
          with_faulty_job(3, 4, {}, {3800ms, 7800ms, 13'000ms}, kill),
          any_time},
-        {"a store that is silent at each crash",
+        {"a store that is unresponsive at each crash",
          {.jobs_per_s = 3},
          with_faulty_job(3, 4, {}, {3000ms, 8000ms, 13'000ms}, silence),
          any_time},
@@ -151,8 +151,8 @@
     }
 }
 
-// Guards against sound tasks that are given up since their VMs ended for reasons of their own.
-TEST_CASE("no task is given up for VMs that end for reasons of their own") {
+// Guards against healthy tasks that are given up because their VMs ended for unrelated reasons.
+TEST_CASE("no task is given up for VMs that end for unrelated reasons") {
     using replay_ref = crash_simulation&;
     const crash_simulation::options busy{.machines = 16, .jobs_per_s = 12, .arrivals = 20'000ms};
     std::vector<milliseconds> each_second;
@@ -182,7 +182,7 @@
         {"the same two VMs again and again", busy,
          at_moments(each_four_seconds,
                     [](replay_ref r, std::size_t) { r.crash_vm(0, 2000ms), r.crash_vm(1, 2500ms); })},
-        {"VMs that never come back", busy,
+        {"VMs that never return", busy,
          at_moments({5000ms, 6000ms, 7000ms},
                     [](replay_ref r, std::size_t turn) { r.crash_vm(turn, 300'000ms); })},
         {"VMs that are drained and leave", busy,
@@ -190,7 +190,7 @@
                     [](replay_ref r, std::size_t turn) {
                         turn % 2 == 0 ? r.drain_vm(turn) : r.crash_vm(turn - 1, 3500ms);
                     })},
-        {"VMs that are only silent, past their lease", busy,
+        {"VMs that are only unresponsive, past their lease", busy,
          at_moments({5000ms, 7000ms},
                     [](replay_ref r, std::size_t turn) {
                         r.make_unreachable(turn, 8000ms), r.make_unreachable(turn + 4, 8000ms);
@@ -214,7 +214,7 @@
 
 namespace {
 
-/// Faults of all kinds at random moments, some jobs of which are faulty. The same seed gives the same play.
+/// Injects faults of all kinds at random moments; some jobs are faulty. Equal seeds give equal scenarios.
 class random_scenario {
   public:
     explicit random_scenario(std::uint64_t seed) : m_random(seed), m_replay(options_of()) {
@@ -234,7 +234,7 @@
   private:
     static constexpr milliseconds faults_until{25'000};
     static constexpr milliseconds settle_time{60'000};
-    static constexpr std::uint64_t fault_one_in = 250; ///< Steps of 10 ms.
+    static constexpr std::uint64_t fault_one_in = 250; ///< One in this many steps of 10 ms.
     static constexpr std::uint64_t faulty_one_in = 600;
 
     std::uint64_t below(std::uint64_t bound) { return m_random() % bound; }
@@ -286,7 +286,7 @@
     std::size_t m_jobs = 0;
 };
 
-/// Those that the environment variable SISKINPADDLE_TEST_SEEDS names as FIRST-LAST, or a few.
+/// The seeds that the environment variable SISKINPADDLE_TEST_SEEDS names as FIRST-LAST, or a few.
 std::vector<std::uint64_t> seeds_to_run() {
     std::uint64_t first = 1;
     std::uint64_t last = 40;
@@ -303,7 +303,7 @@
 
 } // namespace
 
-// Guards against combinations of faults that no row above has.
+// Guards against combinations of faults that no row above covers.
 TEST_CASE("faulty tasks are given up, and only they, whatever else fails") {
     for (const std::uint64_t seed : seeds_to_run()) {
         INFO("seed ", seed);
--- a/tests/jobs/scheduler_fixture.hpp
+++ b/tests/jobs/scheduler_fixture.hpp
@@ -9,7 +9,7 @@
 
 using namespace siskinpaddle::jobs;
 
-/// A scheduler on a bench: VMs and a clock that the test moves, orders that it answers as it likes.
+/// A scheduler under test: the test controls its VMs and its clock and answers its orders.
 class scheduler_fixture {
   public:
     explicit scheduler_fixture(std::uint32_t epoch = 0) : m_scheduler(settings(), epoch, m_now) {
@@ -35,7 +35,7 @@
         return vm;
     }
 
-    /// A VM that is listed and has reported once.
+    /// Adds a VM that is listed and has reported once.
     void add_vm(const std::string& name, std::int64_t cores = 32) {
         m_scheduler.add_or_update_vm(info(name, cores));
         report(name, {});
@@ -69,7 +69,7 @@
         m_scheduler.add_job(record(id, std::move(steps)), m_now);
     }
 
-    /// VMs' clocks run with ours, one second ahead.
+    /// The clocks of the VMs run with the scheduler's clock, one second ahead.
     [[nodiscard]] std::int64_t vm_clock() const { return m_now.count() + 1000; }
 
     void report(const std::string& name, std::vector<running_report> running,
@@ -89,7 +89,7 @@
         return m_scheduler.decide(m_now, wall_ms(), ownership_confirmed);
     }
 
-    /// The time of day runs with our clock.
+    /// The time of day runs with the scheduler's clock.
     [[nodiscard]] std::int64_t wall_ms() const { return m_now.count() + 1'000'000; }
 
     /// Decides and has every start accepted.
@@ -108,7 +108,7 @@
 
     void advance_clock(milliseconds time) { m_now += time; }
 
-    /// Stores all that has changed.
+    /// Stores all changes.
     void store_changes() {
         const store_batch batch = m_scheduler.begin_store_batch();
         for (const std::string& id : batch.jobs) {
--- a/tests/jobs/scheduler_test.cpp
+++ b/tests/jobs/scheduler_test.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-TEST_CASE("a job's tasks start step by step and its end is told once it is stored") {
+TEST_CASE("a job's tasks start step by step and its end is reported once it is stored") {
     scheduler_fixture b;
     b.add_vm("v1");
     step_spec second = scheduler_fixture::step(1);
@@ -37,10 +37,10 @@
     CHECK(b.pool().vms().at("v1").last_stored_end == 3);
 }
 
-TEST_CASE("an adopted run is not taken for lapsed before its VM's first renewal") {
-    // A user sees a seat sold twice. A pool's owner dies while tasks run; its successor finds them on a VM
-    // with its first look, has granted that VM nothing itself, and so took their lease for run out. It
-    // started each of them a second time beside the first.
+TEST_CASE("an adopted run does not count as expired before its VM's first renewal") {
+    // Guards against a task that runs twice after a takeover: the new owner has granted the VM no lease
+    // itself when the VM's first report shows the run, takes the lease for expired, and starts the task
+    // again.
     scheduler_fixture b(1);
     b.pool().restore_job(b.record("j", {scheduler_fixture::step(1)}), std::nullopt, b.now());
     b.pool().expect_vm(b.info("v1"));
@@ -52,32 +52,32 @@
     CHECK(b.decide().starts.empty());
 }
 
-TEST_CASE("tasks of an earlier owner wait for every VM that may run them") {
-    // A user is billed twice. The old owner had started a task on a VM that the new owner can't reach; the
-    // new owner found it nowhere else and started it again at once.
+TEST_CASE("tasks of a previous owner wait for every VM that may run them") {
+    // Guards against a task that runs twice: the previous owner started it on a VM that the new owner can't
+    // reach, and the new owner finds it nowhere else and starts it again at once.
     scheduler_fixture b(1);
     b.pool().restore_job(b.record("j", {scheduler_fixture::step(1)}), std::nullopt, b.now());
     b.pool().expect_vm(b.info("lost"));
     b.add_vm("v1");
     CHECK(b.decide().starts.empty());
 
-    SUBCASE("until it answers") {
+    SUBCASE("until the VM reports") {
         b.report("lost", {});
     }
-    SUBCASE("until its life has certainly ended") {
+    SUBCASE("until the VM's incarnation has certainly ended") {
         b.pool().handle_vm_ended("lost", vm_end_cause::replaced, b.now());
     }
-    SUBCASE("until the last lease of the old owner has run out") {
+    SUBCASE("until the last lease of the previous owner has expired") {
         b.advance_clock(scheduler_fixture::settings().takeover_timeout + 1ms);
         b.report("v1", {});
     }
     CHECK(b.decide().starts.size() == 1);
 }
 
-TEST_CASE("tasks don't wait for a VM whose machine answers as a later one") {
-    // Reports start twelve seconds late and a second pool starves. VMs crashed while the store was away; the
-    // new owner could not connect to them, and no list of machines showed them gone: their machines were up
-    // and still in the pool, under later lives that answered.
+TEST_CASE("tasks don't wait for a VM whose machine reports as a later incarnation") {
+    // Guards against tasks that start twelve seconds late: VMs crash during an outage of the store, and the
+    // new owner can't connect to them. No list of machines shows that they are gone, since the machines are
+    // up and in the pool, under later incarnations that respond.
     scheduler_fixture b(1);
     b.pool().restore_job(b.record("j", {scheduler_fixture::step(1)}), std::nullopt, b.now());
     b.pool().expect_vm(b.info("crashed"));
@@ -86,15 +86,15 @@
     later.machine = b.info("crashed").machine;
     b.pool().add_or_update_vm(later);
     b.add_vm("other");
-    CHECK(b.decide().starts.empty()); // Listed alone proves nothing.
+    CHECK(b.decide().starts.empty()); // Being listed proves nothing.
     b.report("later", {});
     CHECK(b.decide().starts.size() == 1);
     CHECK(!b.pool().vms().contains("crashed"));
 }
 
-TEST_CASE("a VM that is silent loses its runs when its lease has run out, and no sooner") {
-    // A user's overnight run stands still for the rest of the night. Its VM went dark; the owner repeated the
-    // renewal, booked a new deadline with each try, and so never saw the lease run out.
+TEST_CASE("an unresponsive VM loses its runs when its lease has expired, and no sooner") {
+    // Guards against a task that never restarts: its VM goes dark, and the owner repeats the renewal, records
+    // a new deadline with each attempt, and so never sees the lease expire.
     scheduler_fixture b;
     b.add_vm("v1");
     b.add_job("j", {scheduler_fixture::step(1)});
@@ -111,7 +111,7 @@
     }
     b.advance_clock(800ms); // The VM's clock may be 2 % slow.
     b.report("v2", {});
-    CHECK(b.decide().starts.empty()); // That a VM ended under the task is stored first.
+    CHECK(b.decide().starts.empty()); // The crash evidence is stored before the task starts again.
     b.store_changes();
     const auto again = b.decide().starts;
     REQUIRE(again.size() == 1);
@@ -119,10 +119,10 @@
     CHECK(again[0].attempt == 2);
 }
 
-TEST_CASE("an owner whose claim is not certain concludes nothing from silence") {
-    // A user's task runs twice. A zone is cut off with its owner inside; a new owner outside renews the
-    // leases of the VMs there. The old owner no longer reached them, took their leases for run out and
-    // started their tasks on VMs of its own zone.
+TEST_CASE("an owner whose ownership is not confirmed ends no unresponsive VM") {
+    // Guards against a task that runs twice: a zone is cut off with the pool's owner inside, and a new owner
+    // outside renews the leases of the VMs outside. The previous owner no longer reaches these VMs, takes
+    // their leases for expired, and starts their tasks on VMs of its own zone.
     scheduler_fixture b;
     b.add_vm("v1");
     b.add_job("j", {scheduler_fixture::step(1)});
@@ -138,9 +138,9 @@
     CHECK(b.decide(true).starts.size() == 1);
 }
 
-TEST_CASE("runs on a VM that does not answer count against the disruption budget") {
-    // Two of a booking portal's five instances are away at once, though it allows one. A rack went dark with
-    // one of them; its run still counted as at work until its lease ran out, and an upkeep moved another.
+TEST_CASE("runs on a VM that does not respond count against the disruption budget") {
+    // Guards against an exceeded disruption budget: a rack goes dark with one task, the task's run counts as
+    // available until its lease expires, and maintenance moves another task.
     scheduler_fixture b;
     b.add_vm("v1", 1);
     b.add_vm("v2", 1);
@@ -158,9 +158,9 @@
     CHECK(b.decide().stops.size() == 1);
 }
 
-TEST_CASE("a failed run counts once, whoever counts it") {
-    // A bill is shown as failed although its task failed once. An owner stored the failure and died before
-    // the VM had forgotten it; its successor saw the same end listed and counted it again.
+TEST_CASE("a failed run counts once across owners") {
+    // Guards against a failure that counts twice: an owner stores the failure and dies before the VM has
+    // forgotten it, and its successor sees the same end listed.
     scheduler_fixture old_owner;
     old_owner.add_vm("v1");
     old_owner.add_job("j", {scheduler_fixture::step(1)});
@@ -184,7 +184,7 @@
     b.add_vm("v1");
     b.add_job("j", {scheduler_fixture::step(1)});
     for (std::int64_t i = 1; i <= 3; ++i) {
-        b.advance_clock(20'000ms); // A VM that only fails is set aside for a while.
+        b.advance_clock(20'000ms); // A VM that only fails is quarantined for a while.
         b.report("v1", {});
         const auto starts = b.start_all();
         REQUIRE(starts.size() == 1);
@@ -194,8 +194,9 @@
     CHECK(b.decide().starts.empty());
 }
 
-TEST_CASE("a start without an answer is settled by the VM's own word") {
-    // A task is lost or doubled when an order gets no answer: it may be there, may come, or may never come.
+TEST_CASE("a start without an answer is resolved by the VM's report") {
+    // Guards against a lost or doubled task: the run of a start without an answer may be there, may start
+    // later, or may never start.
     scheduler_fixture b;
     b.add_vm("v1");
     b.add_job("j", {scheduler_fixture::step(1)});
@@ -206,13 +207,13 @@
     REQUIRE(stops.size() == 1);
     CHECK(b.decide().starts.empty());
 
-    SUBCASE("it is there: it is stopped and its end awaited") {
+    SUBCASE("the run is there: it is stopped and its end awaited") {
         b.report("v1", {b.running(order)});
         CHECK(b.decide().starts.empty());
         b.report("v1", {}, {b.end(1, order, run_end::stopped)});
         CHECK(b.decide().starts.size() == 1);
     }
-    SUBCASE("it was done meanwhile") {
+    SUBCASE("the run is done already") {
         b.report("v1", {}, {b.end(1, order, run_end::done)});
         CHECK(b.decide().starts.empty());
         CHECK(b.pool().find_job("j")->phase() == job_phase::completed);
@@ -221,7 +222,7 @@
         b.report("v1", {});
         CHECK(b.decide().starts.empty());
     }
-    SUBCASE("its time to start has passed") {
+    SUBCASE("the start's deadline has passed") {
         b.advance_clock(1000ms);
         b.report("v1", {});
         CHECK(b.decide().starts.size() == 1);
@@ -237,7 +238,7 @@
     CHECK(b.decide().stops.size() == 2);
     b.report("v1", {}, {b.end(1, starts[0], run_end::stopped)});
     CHECK(b.decide().starts.empty());
-    CHECK(b.pool().phase_of("j") == job_phase::running); // Not told before it is stored.
+    CHECK(b.pool().phase_of("j") == job_phase::running); // Not reported to the client before it is stored.
     b.store_changes();
     CHECK(b.pool().phase_of("j") == job_phase::cancelled);
 }
@@ -268,9 +269,9 @@
     CHECK(b.pool().find_job("j")->phase() == job_phase::completed);
 }
 
-TEST_CASE("a gang that distance slows down starts on one rack where one has room for all of it") {
-    // A user's model takes twice as long as promised. Its members were put on the fullest VMs with room,
-    // which stood on two racks, although one rack had room for them all.
+TEST_CASE("a gang that needs one rack starts there if a rack has capacity for all of it") {
+    // Guards against a gang that takes twice as long as expected: its members are placed on the fullest VMs,
+    // which are on two racks, although one rack has free capacity for all of them.
     struct layout {
         const char* story;
         std::int64_t cores_of_b; // Rack a: 2 + 1 cores; rack b: this many on one VM.
@@ -278,8 +279,8 @@
         const char* expected; // The rack of all starts.
     };
     constexpr layout layouts[] = {
-        {"a fuller VM stands on another rack", 1, "", "a"},
-        {"the rack with least to spare", 8, "", "a"},
+        {"a fuller VM is on another rack", 1, "", "a"},
+        {"the rack with least free capacity", 8, "", "a"},
         {"the rack of the data", 8, "b", "b"},
         {"the data's rack is too small", 2, "b", "a"},
     };
@@ -313,7 +314,7 @@
     CHECK(b.start_all().size() == 3);
 }
 
-TEST_CASE("work is packed, so that whole VMs stay idle") {
+TEST_CASE("tasks are packed, so that whole VMs stay idle") {
     scheduler_fixture b;
     for (const char* name : {"v1", "v2", "v3", "v4"}) {
         b.add_vm(name);
@@ -326,10 +327,10 @@
     CHECK(std::ranges::count_if(demand.vms, &vm_load::is_idle) == 3);
 }
 
-TEST_CASE("an adopted run that ends does not free its task while the old owner may still act elsewhere") {
-    // A task runs twice for a second. A new owner adopts a run; it fails at once and both owners hear of it.
-    // The old one, not yet aware of its successor, starts the task on a VM that the new one has not reached;
-    // the new one starts it as well, since it had found the task's only run.
+TEST_CASE("an adopted run that ends does not free its task while the previous owner may still order a run") {
+    // Guards against a task that runs twice: a new owner adopts a run that fails at once, and both owners see
+    // the end. The previous owner doesn't know its successor yet and starts the task on a VM that the new
+    // owner has not reached, and the new owner starts the task as well.
     scheduler_fixture b(1);
     b.pool().restore_job(b.record("j", {scheduler_fixture::step(1)}), std::nullopt, b.now());
     b.pool().expect_vm(b.info("v1"));
@@ -348,10 +349,9 @@
     CHECK(b.decide().starts.size() == 1);
 }
 
-TEST_CASE("a VM whose ends are not stored yet is not free to go") {
-    // A passenger is billed again after a restart of all nodes. A VM was moved to another pool as soon as
-    // nothing ran there, while the ends that it had listed were not stored; with the VM they were gone, and
-    // the next owner started the tasks once more.
+TEST_CASE("a VM whose ends are not stored yet is not releasable") {
+    // Guards against tasks that run again after a restart of all nodes: a VM is moved to another pool while
+    // the ends that it has listed are not stored, and the ends are lost with the VM.
     scheduler_fixture b;
     b.add_vm("v1");
     b.add_job("j", {scheduler_fixture::step(1)});
@@ -365,10 +365,10 @@
     CHECK(b.pool().demand(b.now()).vms.at(0).is_idle);
 }
 
-TEST_CASE("a VM that a new owner has not heard of is not free to go") {
-    // A quote runs again after a restart of all nodes. Its zone was cut off; a new owner outside could not
-    // reach the VMs there, knew of no runs on them, and took them out of the record of VMs in use. The owner
-    // after it then did not ask them, and started what had ended there.
+TEST_CASE("a VM that has not reported to a new owner is not releasable") {
+    // Guards against tasks that run again after a restart of all nodes: a new owner that can't reach VMs
+    // knows of no runs on them and removes them from the record of VMs in use, so the next owner doesn't ask
+    // them and starts what has ended there.
     scheduler_fixture b(1);
     b.pool().expect_vm(b.info("v1"));
     CHECK_FALSE(b.pool().is_releasable("v1"));
@@ -378,8 +378,8 @@
 }
 
 TEST_CASE("a step of a queue with a policy runs only on VMs that the policy service approves") {
-    // A carrier's job runs on a VM that its policy forbids, or never runs: VMs refuse starts without a
-    // ticket.
+    // Guards against a run on a VM that the queue's policy forbids, and against a job that never runs because
+    // VMs refuse starts without a ticket.
     scheduler_fixture b;
     queue_settings queue;
     queue.name = "q";
@@ -403,7 +403,7 @@
         CHECK(starts[0].vm == "v2");
         CHECK(starts[0].ticket == "t-2");
     }
-    SUBCASE("a ticket runs out") {
+    SUBCASE("a ticket expires") {
         b.pool().handle_advice_answer(asked.advice_requests[0], {true, {{"v2", "t-2"}}, 3000ms}, b.now());
         b.advance_clock(2900ms);
         b.report("v1", {});
@@ -412,7 +412,7 @@
         CHECK(again.starts.empty());
         CHECK(again.advice_requests.size() == 1);
     }
-    SUBCASE("an answer that never comes is asked for again") {
+    SUBCASE("a request without an answer is repeated") {
         b.advance_clock(1700ms);
         b.report("v1", {});
         b.report("v2", {});
@@ -420,10 +420,9 @@
     }
 }
 
-TEST_CASE("a long-running task whose start got no answer is not stopped, since it may be at work") {
-    // Three of a portal's five instances are away, though it allows one. After a rack's loss they start
-    // again; the answers to two starts are lost, and the runs, which are there and at work, are stopped for
-    // it.
+TEST_CASE("a long-running task whose start got no answer is not stopped, since it may be running") {
+    // Guards against an exceeded disruption budget: long-running tasks start again after the loss of a rack,
+    // the answers to two starts are lost, and the runs, which are available, are stopped for it.
     scheduler_fixture b;
     b.add_vm("v1");
     b.add_job("j", {long_running_step(1, 1)});
@@ -432,7 +431,7 @@
     b.pool().handle_start_answer(order, order_outcome::unknown, 0, b.now());
     CHECK(b.decide().stops.empty());
 
-    SUBCASE("it is there and goes on") {
+    SUBCASE("the run is there and continues") {
         b.report("v1", {b.running(order)});
         b.advance_clock(2000ms);
         b.report("v1", {b.running(order)});
@@ -440,7 +439,7 @@
         CHECK(later.stops.empty());
         CHECK(later.starts.empty());
     }
-    SUBCASE("it is not there and its time to start has passed: it starts again") {
+    SUBCASE("the run is not there and the start's deadline has passed: the task starts again") {
         b.report("v1", {});
         CHECK(b.decide().starts.empty());
         b.advance_clock(1000ms);
@@ -449,10 +448,10 @@
     }
 }
 
-TEST_CASE("a VM on which several tasks soon end is looked at closely") {
-    // Agencies wait four seconds for quotes while a third of their pool's cores idle. One answer in twenty of
-    // its VMs is lost; a look that waits long for an end is given up long after, and until then the pool
-    // hears of no end on that VM and fills none of its room.
+TEST_CASE("a VM on which several tasks end soon is polled frequently") {
+    // Guards against idle cores while jobs wait: an answer of a VM is lost, a poll that waits long for an end
+    // is abandoned only long after, and until then no end on that VM is known and its free capacity isn't
+    // used.
     struct polling_case {
         const char* name = "";
         std::uint32_t quotes = 0;
--- a/tests/jobs/suspicion_test.cpp
+++ b/tests/jobs/suspicion_test.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/// One VM's end after the other.
+/// Returns evidence from the ends of one VM after the other.
 std::vector<crash_evidence> ends(const std::vector<evidence_kind>& kinds,
                                  end_certainty fate = end_certainty::ended) {
     std::vector<crash_evidence> evidence;
@@ -24,7 +24,7 @@
 
 } // namespace
 
-TEST_CASE("what is held against a task by the VMs that ended under it") {
+TEST_CASE("the suspicion level follows from the VMs that ended while running a task") {
     using enum evidence_kind;
     struct row {
         std::string name;
@@ -37,11 +37,11 @@
         row{"one crash, nothing else ran there", ends({alone}), suspicion::suspected},
         row{"two crashes, each alone", ends({alone, alone}), suspicion::isolated},
         row{"the third, alone", ends({shared, shared, alone}), suspicion::given_up},
-        row{"the third, in company", ends({alone, alone, shared}), suspicion::isolated},
-        row{"the fourth, in company", ends({shared, shared, shared, shared}), suspicion::given_up},
-        row{"one under an earlier owner", ends({shared, inferred, alone}), suspicion::isolated},
+        row{"the third, beside other jobs", ends({alone, alone, shared}), suspicion::isolated},
+        row{"the fourth, beside other jobs", ends({shared, shared, shared, shared}), suspicion::given_up},
+        row{"one under a previous owner", ends({shared, inferred, alone}), suspicion::isolated},
         row{"and one more", ends({shared, inferred, alone, alone}), suspicion::given_up},
-        row{"two crashes at quite another age",
+        row{"two crashes at different ages",
             {{"v0", shared, end_certainty::ended, 12}, {"v1", shared, end_certainty::ended, 900}},
             suspicion::suspected},
         row{"two at one age after one at another",
@@ -55,7 +55,7 @@
              {"v2", shared, end_certainty::ended, 14},
              {"v3", alone, end_certainty::ended, 12}},
             suspicion::given_up},
-        row{"the third, alone, at quite another age",
+        row{"the third, alone, at a different age",
             {{"v0", shared, end_certainty::ended, 12},
              {"v1", shared, end_certainty::ended, 20},
              {"v2", alone, end_certainty::ended, 900}},
@@ -64,13 +64,13 @@
         row{"two of them", ends({mass, mass}), suspicion::suspected},
         row{"and a crash alone", ends({mass, mass, alone}), suspicion::isolated},
         row{"and another", ends({mass, mass, alone, alone}), suspicion::given_up},
-        row{"VMs that are silent past their lease", ends({alone, alone}, end_certainty::lease_expired),
+        row{"VMs that are unresponsive past their lease", ends({alone, alone}, end_certainty::lease_expired),
             suspicion::suspected},
         row{"the fifth end in a row", ends({mass, shared, mass, inferred, mass}), suspicion::given_up},
         row{"four that another task explains, and one",
             ends({explained, explained, explained, explained, mass}), suspicion::isolated},
         row{"crashes that another task explains", ends({explained, explained}), suspicion::suspected},
-        row{"VMs that don't answer just now", ends({alone, alone, alone}, end_certainty::unresponsive),
+        row{"VMs that don't respond at present", ends({alone, alone, alone}, end_certainty::unresponsive),
             suspicion::none},
     };
     for (const row& item : rows) {
@@ -79,7 +79,7 @@
     }
 }
 
-TEST_CASE("whom the end of a VM is held against") {
+TEST_CASE("the end of a VM is evidence against the tasks that ran there") {
     using enum evidence_kind;
     struct row {
         std::string name;
@@ -95,7 +95,7 @@
     const ended_run unanswered{task_of("b"), 1, 0ms, false};
     const ended_run long_run{task_of("c"), 1, proven_after, true};
     const std::array rows{
-        row{"a task by itself", vm_end_cause::replaced, false, false, {one}, {{one.task, alone, fresh}}},
+        row{"a single task", vm_end_cause::replaced, false, false, {one}, {{one.task, alone, fresh}}},
         row{"tasks of one job",
             vm_end_cause::superseded,
             false,
@@ -122,15 +122,20 @@
             {{one.task, shared, fresh}, {unanswered.task, shared, 0ms}}},
         row{"only one that has run for long", vm_end_cause::replaced, false, false, {long_run}, {}},
         row{"a rack is lost", vm_end_cause::replaced, false, true, {one}, {{one.task, mass, fresh}}},
-        row{"it is only silent",
+        row{"the VM is only unresponsive",
             vm_end_cause::lease_expired,
             false,
             false,
             {one},
             {{one.task, alone, fresh}}},
-        row{"it had said that it would leave", vm_end_cause::replaced, true, false, {one, other}, {}},
-        row{"it was moved", vm_end_cause::ordered, false, false, {one}, {}},
-        row{"it was empty", vm_end_cause::replaced, false, false, {}, {}},
+        row{"the VM had announced that it would leave",
+            vm_end_cause::replaced,
+            true,
+            false,
+            {one, other},
+            {}},
+        row{"the VM was moved", vm_end_cause::ordered, false, false, {one}, {}},
+        row{"the VM was empty", vm_end_cause::replaced, false, false, {}, {}},
     };
     for (const row& item : rows) {
         INFO(item.name);
@@ -142,11 +147,11 @@
     }
 }
 
-TEST_CASE("a loss of many VMs is told from single ends") {
+TEST_CASE("a mass loss is distinguished from single ends") {
     struct row {
         std::string name;
-        std::vector<milliseconds> ended;        ///< When others that ended went silent.
-        std::vector<milliseconds> unresponsive; ///< When those did that don't answer now.
+        std::vector<milliseconds> ended;        ///< When other VMs that ended became unresponsive.
+        std::vector<milliseconds> unresponsive; ///< When VMs that are unresponsive now became so.
         std::size_t vms;
         bool expected;
     };
@@ -155,7 +160,7 @@
         row{"one other", {10ms}, {0ms}, 4, false},
         row{"two others of eight", {10ms}, {0ms, 20ms}, 8, true},
         row{"two others of a large pool", {10ms}, {0ms, 20ms}, 20, false},
-        row{"a quarter of it", {1ms, 2ms, 3ms}, {0ms, -4ms}, 20, true},
+        row{"a quarter of a large pool", {1ms, 2ms, 3ms}, {0ms, -4ms}, 20, true},
         row{"one after the other", {-900ms, -600ms, 400ms}, {0ms, 700ms}, 8, false},
     };
     const timestamp moment{100'000};
@@ -173,7 +178,7 @@
     }
 }
 
-TEST_CASE("what is held against a task outlives its owner, and records without it stay as they were") {
+TEST_CASE("crash evidence survives a change of owner, and records without it keep their format") {
     job_progress plain;
     plain.done = "01";
     job_progress held = plain;
--- a/tests/jobs/takeover_budget_test.cpp
+++ b/tests/jobs/takeover_budget_test.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::uint32_t budget = 1;
 
-/// Two long-running tasks on two VMs, as their reports tell a new owner.
+/// Two long-running tasks on two VMs, as reported to a new owner.
 struct taken_over_pool {
     scheduler_fixture fixture{1};
     std::vector<start_order> runs;
@@ -30,23 +30,23 @@
 
 } // namespace
 
-TEST_CASE("a new owner stops no long-running task while stops of the one before may still take effect") {
-    // A service loses more of its tasks at a time than it allows, when nodes restart in turn during upkeep.
-    // The earlier owner has just ordered three to stop, which takes up to a second, and their VMs list them
-    // as running at full share until then. The new owner takes them for at work, and stops as many others for
-    // the same upkeep.
+TEST_CASE("a new owner stops no long-running task while stops of the previous owner may still take effect") {
+    // Guards against an exceeded disruption budget when nodes restart in turn during maintenance: stops of
+    // the previous owner take up to a second, and the VMs list these runs as running at full share until
+    // then. If the new owner counts them as available, it stops as many others.
     taken_over_pool p;
     CHECK(p.fixture.decide().stops.empty());
     p.fixture.advance_clock(500ms);
     p.fixture.report("v0", {scheduler_fixture::running(p.runs[0])});
     p.fixture.report(
-        "v1", {}, {scheduler_fixture::end(1, p.runs[1], run_end::stopped)}); // Ordered by the earlier owner.
+        "v1", {}, {scheduler_fixture::end(1, p.runs[1], run_end::stopped)}); // Ordered by the previous owner.
     p.fixture.advance_clock(600ms);
     p.fixture.report("v0", {scheduler_fixture::running(p.runs[0])});
-    CHECK(p.fixture.decide().stops.empty()); // The other one is away.
+    CHECK(p.fixture.decide().stops.empty()); // The other task is unavailable.
 }
 
-TEST_CASE("a new owner goes on emptying VMs once no stop of the one before can take effect any more") {
+TEST_CASE(
+    "a new owner continues to evacuate VMs once no stop of the previous owner can take effect any more") {
     taken_over_pool p;
     p.fixture.advance_clock(scheduler_settings{}.max_stop_time + 1ms);
     for (const start_order& order : p.runs) {
