--- a/jobs/suspicion.hpp
+++ b/jobs/suspicion.hpp
@@ -86,10 +86,10 @@
 /// thread-safe.
 class recent_vm_ends {
   public:
-    /// Precondition: `silent_from` is not later than `now`.
+    /// Precondition: `unresponsive_since` is not later than `now`.
     void add(const std::string& vm, timestamp unresponsive_since, timestamp now);
-    /// Counts the VMs that became unresponsive at about `silent_from`, including that VM itself. `silent`:
-    /// when VMs that are unresponsive now and have not ended yet became so.
+    /// Counts the VMs that became unresponsive at about `unresponsive_since`, including that VM itself.
+    /// `unresponsive`: when VMs that are unresponsive now and have not ended yet became so.
     [[nodiscard]] std::size_t count_simultaneous(timestamp unresponsive_since,
                                                  std::span<const timestamp> unresponsive) const;
 
