--- a/jobs/scheduler_suspects.cpp
+++ b/jobs/scheduler_suspects.cpp
@@ -116,7 +116,8 @@
     finish_job(job, job_phase::failed, now);
 }
 
-/// Reduces the weight of evidence against tasks of other jobs that comes from the culprit's VMs.
+/// Marks evidence against tasks of other jobs as explained if it comes from a VM on which the culprit
+/// crashed; explained evidence has less weight.
 void scheduler::mark_explained_by(const task_state& culprit, const std::string& job) {
     for (const task_id& id : m_suspects) {
         if (id.job == job) {
--- a/jobs/suspicion.cpp
+++ b/jobs/suspicion.cpp
@@ -12,7 +12,7 @@
 constexpr int uncertain_weight = 1;
 /// Three crashes give a task up if it was alone at the last one. Two could still be coincidence.
 constexpr int give_up_weight_alone = 3 * crash_weight;
-/// Without that, four crashes are needed. The users require that no third start follows the third crash.
+/// Otherwise four crashes are needed. The users require that no third start follows the third crash.
 constexpr int give_up_weight_shared = 4 * crash_weight;
 /// Ends that no other task explains give a task up at this number in any case; the start after the last of
 /// them could be that third one.
--- a/jobs/suspicion.hpp
+++ b/jobs/suspicion.hpp
@@ -13,7 +13,7 @@
 
 namespace siskinpaddle::jobs {
 
-/// Kind of evidence that the end of a VM is against a task that ran there.
+/// Kind of evidence against a task, from the end of a VM on which it ran.
 enum class evidence_kind : std::uint8_t {
     alone,     ///< No other job had a run there that could have caused the end.
     shared,    ///< Other jobs had such runs, too.
@@ -78,8 +78,8 @@
     bool operator==(const suspect_run&) const = default;
 };
 
-/// Returns the evidence that the end of a VM is against the tasks that ran there; none if the end was ordered
-/// or announced. `mass`: so many VMs ended at the same time that the cause is external. Pure; thread-safe.
+/// Returns the evidence against the tasks that ran on an ended VM; none if the end was ordered or announced.
+/// `mass`: so many VMs ended at the same time that the cause is external. Pure; thread-safe.
 [[nodiscard]] std::vector<suspect_run> find_suspect_runs(const vm_end& end, bool mass);
 
 /// Records when ended VMs of a pool became unresponsive, to distinguish a mass loss from single crashes. Not
