--- a/node/configuration_task.cpp
+++ b/node/configuration_task.cpp
@@ -8,14 +8,15 @@
 
 namespace {
 
-/// A version must be in force within two seconds; a watch whose connection went silent must be noticed well
-/// within that.
+/// A version must be in force within two seconds; an unresponsive connection of the watch must be detected
+/// well within that time.
 constexpr milliseconds watch_wait = 1s;
-/// How long our own watch has to bring a version that a peer has named already. Guards against links that are
-/// filled with readings of the same configuration: nodes on fast links have it, and say so in each answer,
-/// before the transfer to a slow node is through. With the reading that follows still within the two seconds
-/// in which a version must be in force; on a narrow link twice what a large configuration takes.
+/// Delay for the node's own watch to deliver a version that a peer has already named. Nodes on fast links
+/// have a new configuration, and name its version in each answer, before the transfer to a node on a slow
+/// link is complete; without the delay, repeated reads of the same configuration would fill the slow link.
+/// The delay and the read that follows it fit into the two seconds in which a version must be in force.
 constexpr milliseconds catch_up_delay = 700ms;
+/// On a narrow link the delay is twice the transfer time of a large configuration.
 constexpr int transfer_time_factor = 2;
 
 } // namespace
--- a/node/configuration_task.hpp
+++ b/node/configuration_task.hpp
@@ -7,17 +7,17 @@
 
 namespace siskinpaddle::node {
 
-/// Follows what the operator writes: the configuration, which never goes back to an older version within one
-/// process, and the waves of upkeep.
+/// Follows the operator's entries in the store: the configuration, which never reverts to an older version
+/// within one process, and the maintenance waves.
 class configuration_task {
   public:
     configuration_task(event_loop& loop, platform::store_client& store, std::function<void()> on_change);
 
     void start() { m_watch.start(); }
-    /// Reads anew at once.
+    /// Lists the entries again at once.
     void refresh() { m_watch.refresh(); }
-    /// A peer has this version in force; reads anew if it is newer than ours and our own watch does not bring
-    /// it within a while.
+    /// Records that a peer has this version in force. If the version is newer than the current one and the
+    /// watch doesn't deliver it within a delay, the entries are listed again.
     void record_peer_version(std::int64_t version);
 
     [[nodiscard]] const jobs::fleet_configuration& current() const noexcept { return m_current; }
@@ -34,8 +34,8 @@
     std::function<void()> m_on_change;
     milliseconds m_catch_up_delay;
     std::unique_ptr<timer> m_catch_up_timer;
-    std::int64_t m_newest_peer_version = 0; ///< Newest that a peer has named.
-    bool m_catch_up_pending = false;        ///< A peer has named a newer version; the timer runs.
+    std::int64_t m_newest_peer_version = 0; ///< Newest version that a peer has reported.
+    bool m_catch_up_pending = false;        ///< A peer has reported a newer version; the timer is running.
     jobs::fleet_configuration m_current;
     std::map<std::int64_t, platform::maintenance_wave> m_waves;
     watch_task m_watch;
--- a/node/guaranteed_reply.hpp
+++ b/node/guaranteed_reply.hpp
@@ -9,16 +9,17 @@
 
 namespace siskinpaddle::node {
 
-/// A reply that is given once, whatever happens to whoever holds it. Not thread-safe.
+/// Replies exactly once, even if the last holder of the callback drops it. Not thread-safe.
 ///
-/// A pool's owner keeps replies until what they tell is stored. When another node owns the pool meanwhile,
-/// its state is dropped, and the replies with it; the clients were told 500, which says neither that their
-/// job is kept nor that it will not run. Dropped unused, this replies that the outcome is unknown.
+/// A pool's owner keeps replies until the results that they report are stored. When another node takes the
+/// pool over meanwhile, the owner's state is dropped together with its pending replies. A reply that is
+/// dropped unused reports that the outcome is unknown; otherwise the client would get 500, which states
+/// neither that the job is stored nor that it never runs.
 class guaranteed_reply {
   public:
     using callback = std::function<void(const peer_answer&)>;
 
-    /// `alive`: expires when `done` may no longer be called.
+    /// `alive` expires when `done` may no longer be called.
     [[nodiscard]] static callback make(callback done, std::weak_ptr<void> alive) {
         const auto shared = std::make_shared<guaranteed_reply>(std::move(done), std::move(alive));
         return [shared](const peer_answer& answer) { shared->send(answer); };
--- a/node/ingress_task.cpp
+++ b/node/ingress_task.cpp
@@ -11,17 +11,17 @@
 
 namespace {
 
-/// An owner answers in a few milliseconds, plus a write of the store; when it is frozen or cut off, the way
-/// through the store must still fit into the client's deadline of about three seconds.
+/// An owner answers within a few milliseconds plus one write to the store. If the owner is frozen or cut off,
+/// the fallback through the store must still fit into the client's deadline of about three seconds.
 constexpr milliseconds owner_timeout = 900ms;
-/// While nobody can take the job: an owner is replaced in about three seconds.
+/// Sent while no node can accept the job; an owner is replaced in about three seconds.
 constexpr milliseconds retry_after_takeover = 1s;
 constexpr milliseconds retry_after_unavailable = 1s;
-/// An owner that did not answer is not asked again for this long; the store is, at once.
+/// An owner that did not answer gets no requests for this long; the store is used at once instead.
 constexpr milliseconds unresponsive_owner_pause = 1s;
-/// A pool that was overloaded counts as such for this long, as long as a dead owner takes to be replaced.
+/// A pool counts as overloaded for this long after a refusal, which is the time to replace a dead owner.
 constexpr milliseconds overload_ttl = 2s;
-/// Above the largest body that a configuration allows so far; the configured bound is checked per call.
+/// Above the largest body that a configuration allows so far; the configured limit is checked per call.
 constexpr std::size_t max_request_body = 1U << 20U;
 
 peer_request make_peer_request(peer_request_kind kind, const platform::client_call& call,
@@ -64,7 +64,7 @@
         findings problems;
         client.spec = platform::decode_job(request->body(), client.call.job, client.call.queue, problems);
         if (request->body().size() > configuration.max_body_bytes) {
-            problems.add("/", "the body is larger than the operator allows");
+            problems.add("/", "body exceeds the configured max_body_bytes");
         }
         if (!problems.empty()) {
             log_event(event_id::client_refused, {{"job", client.call.job},
@@ -135,8 +135,8 @@
                          });
 }
 
-/// Remembers whether an owner on another node answers: a frozen or cut off one would hold each client for the
-/// whole timeout, one after the other.
+/// Records whether an owner on another node responds. Otherwise a frozen or cut off owner would delay each
+/// client by the whole timeout, one after the other.
 void ingress_task::record_owner_response(const std::string& owner, const peer_answer& answer) {
     const timestamp now = event_loop::now();
     const peer_outcome outcome = outcome_of(answer);
@@ -192,9 +192,9 @@
     }
 }
 
-/// Whether the pool's owner lately turned jobs away. Answers an owner that is silent because it is
-/// overloaded: what is left in its inbox then is accepted without its judgement, hundreds of jobs a second
-/// that nobody has room for.
+/// Returns the pool's overload refusal if it is recent, else null. Guards against an owner that is
+/// unresponsive because it is overloaded: jobs that are then stored in its inbox are accepted without its
+/// admission control, hundreds of jobs a second for which there is no free capacity.
 const ingress_task::overload* ingress_task::recent_overload(const std::string& pool) const {
     const auto found = m_overloads.find(pool);
     const bool recent =
@@ -207,8 +207,8 @@
     platform::answer_overloaded(*client.request, retry_after);
 }
 
-/// Tells that the job is not accepted. An owner whose copy of the inbox is old may have judged the repeat of
-/// a job that lies there, and that it will run: then the store is asked first.
+/// Reports that the job is not accepted. An owner whose copy of the inbox is old may have refused a repeated
+/// submit of a job that is stored in the inbox and will run; in that case the store is read first.
 void ingress_task::refuse_for_load(const client_context& client, const peer_answer& answer) {
     const milliseconds retry_after(answer.retry_after_ms);
     if (milliseconds(answer.inbox_age_ms) <= jobs::max_count_age) {
@@ -218,7 +218,7 @@
     refuse_unless_stored(client, retry_after);
 }
 
-/// An earlier try of the same job may have been accepted although its client heard nothing.
+/// A previous attempt to submit the same job may have been accepted although its client got no answer.
 void ingress_task::refuse_unless_stored(const client_context& client, milliseconds retry_after) {
     look_up_job(m_context.store, client.call.pool, client.call.job,
                 [this, client, retry_after, alive = m_lifetime.weak_token()](const lookup_answer& found) {
@@ -236,8 +236,8 @@
                 });
 }
 
-/// Leaves the job where the pool's next owner finds it. `may_be_stored`: the owner may have accepted it, so a
-/// refusal would not be true any more.
+/// Stores the job in the inbox, where the pool's next owner finds it. `may_be_stored`: the owner may have
+/// accepted the job, so a refusal could be wrong.
 void ingress_task::submit_through_store(const client_context& client, bool may_be_stored) {
     if (store_is_failing(m_context.store, event_loop::now())) {
         may_be_stored ? report_unknown_outcome(client, "store")
@@ -261,7 +261,7 @@
     m_context.store.commit(change, [this, client, may_be_stored, write_id,
                                     alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
         if (alive.expired() || m_inbox_writes.erase(write_id) == 0) {
-            return; // Told already that the outcome is unknown.
+            return; // The unknown outcome has already been reported.
         }
         if (answer.status == platform::store_status::ok ||
             answer.status == platform::store_status::conflict) {
@@ -366,7 +366,7 @@
 // --- Count ---
 
 void ingress_task::count_answered(const client_context& client, const peer_answer& answer) {
-    // Counted from when the client asked: how long the answer was on its way, and lay unread, is not known.
+    // The age counts from the client's request: how long the answer was in flight and unread is not known.
     const timestamp at = client.received_at - milliseconds(answer.inbox_age_ms);
     if (outcome_of(answer) != peer_outcome::ok) {
         refuse(client, name_of(outcome_of(answer)), retry_after_unavailable);
--- a/node/ingress_task.hpp
+++ b/node/ingress_task.hpp
@@ -12,11 +12,11 @@
 
 namespace siskinpaddle::node {
 
-/// Takes clients' calls, hands them to the pool's owner, and falls back to the store where the owner can't be
-/// reached. Not thread-safe.
+/// Receives clients' calls, forwards them to the pool's owner, and falls back to the store when the owner
+/// can't be reached. Not thread-safe.
 class ingress_task {
   public:
-    /// What the task works with; all outlive it.
+    /// Dependencies of the task; all must outlive it.
     struct context {
         event_loop& loop;
         platform::store_client& store;
@@ -25,26 +25,27 @@
         peer_client& peers;
         metrics& counters;
     };
-    /// Hands a request to this node's own pool task; returns false if there is none.
+    /// Passes a request to this node's own pool task; returns false if there is none.
     using local_handler = std::function<bool(const peer_request&, peer_server::reply)>;
 
     ingress_task(context dependencies, local_handler local);
 
     [[nodiscard]] bool listen(const endpoint& where) { return m_server.listen(where); }
-    /// Whether clients are asked to go elsewhere with their next request; goes on serving. Answers entries
-    /// that can't reach the store: the platform sends them no new connections, but a client that keeps its
-    /// connection open would be refused there for as long as the partition lasts.
+    /// Sets whether clients are asked to close their connection with the next answer; requests are still
+    /// served. Used by entries that can't reach the store: the platform sends them no new connections, but a
+    /// client that keeps its connection open would be refused for as long as the partition lasts.
     void set_connection_shedding(bool on) { m_server.set_connection_shedding(on); }
-    /// Takes no new connections.
+    /// Stops accepting connections.
     void stop_accepting() { m_server.drain(); }
-    /// Answers the clients whose jobs were sent to a store that has fallen silent: the outcome is unknown,
-    /// and they may ask again. Called several times a second. Guards against clients that are held until the
-    /// store's time-out, or their own deadline, and have no time left for the try that would be accepted.
+    /// Answers the clients whose jobs were sent to a store that has become unresponsive: the outcome is
+    /// unknown, and the clients may retry. Called several times a second. Otherwise clients are held until
+    /// the store's timeout or their own deadline, and have no time left for the retry that would be accepted.
     void answer_stalled_submits();
     [[nodiscard]] bool is_idle() const noexcept { return m_server.requests_in_progress() == 0; }
-    /// When the store was last reached by an owner on another node that answers this one. An owner's answer
-    /// alone proves nothing: cut off together with this node it still answers, and can accept nothing. With
-    /// readiness judged by that answer alone clients of a zone that is cut off would go on coming here.
+    /// When the store was last reached by an owner on another node that responds to this node. A response of
+    /// an owner alone proves nothing: an owner that is cut off together with this node still responds, but
+    /// can't accept jobs. If readiness depended on responses alone, clients of a zone that is cut off would
+    /// continue to connect to this node.
     [[nodiscard]] timestamp peer_reached_store_at() const noexcept { return m_peer_reached_store_at; }
 
   private:
@@ -52,14 +53,14 @@
     struct client_context {
         request_handle request;
         platform::client_call call;
-        jobs::job_spec spec; ///< Of a submit.
+        jobs::job_spec spec; ///< Set for a submit.
         timestamp received_at;
     };
     struct cached_count {
         std::uint64_t jobs = 0;
         timestamp counted_at{0};
     };
-    /// The latest refusal of a pool's owner for load.
+    /// The latest refusal by a pool's owner because of load.
     struct overload {
         timestamp refused_at{0};
         milliseconds retry_after{0};
@@ -93,10 +94,11 @@
     local_handler m_local_handler;
     http_server m_server;
     timestamp m_peer_reached_store_at{0};
-    std::map<std::string, timestamp> m_unresponsive_owners; ///< Incarnation -> until when it is not asked.
-    std::map<std::string, cached_count> m_counts;           ///< By queue.
-    std::map<std::string, overload> m_overloads;            ///< By pool.
-    std::map<std::uint64_t, inbox_write> m_inbox_writes;    ///< Whose clients have no answer yet.
+    std::map<std::string, timestamp>
+        m_unresponsive_owners;                           ///< Incarnation -> until when it gets no requests.
+    std::map<std::string, cached_count> m_counts;        ///< By queue.
+    std::map<std::string, overload> m_overloads;         ///< By pool.
+    std::map<std::uint64_t, inbox_write> m_inbox_writes; ///< Writes whose clients have no answer yet.
     std::uint64_t m_next_write_id = 1;
     lifetime m_lifetime;
 };
--- a/node/job_lookup.cpp
+++ b/node/job_lookup.cpp
@@ -8,7 +8,7 @@
 
 using phase_reader = std::function<std::optional<jobs::job_phase>(const platform::store_item&)>;
 
-/// Reads `key`; tells what it says, or goes on with `otherwise` if there is no such item.
+/// Reads `key` and passes its phase to `done`; calls `otherwise` if there is no such item.
 void read_phase(platform::store_client& store, const std::string& key, const phase_reader& read,
                 std::function<void(lookup_answer)> done, std::function<void()> otherwise) {
     store.get(key, [read, done = std::move(done),
--- a/node/membership_task.cpp
+++ b/node/membership_task.cpp
@@ -10,28 +10,31 @@
 
 namespace {
 
-/// A dead node's duties wait this long for a new owner; runs on VMs outlive it under their own leases of six
-/// seconds. Renewed three times within it, so that one renewal that is lost, found out about after
-/// `renew_timeout` and repeated, costs nothing. Longer, a pool whose owner died in a turn of demand
-/// stands without decisions, and all pools without machines.
+/// A dead node's duties have no owner for this long; runs on VMs outlive that time under their own leases of
+/// six seconds. The lease is renewed three times within its term, so that one renewal that is lost, detected
+/// after `renew_timeout` and repeated, has no effect. With a longer lease, a pool whose owner dies during a
+/// demand peak makes no decisions for longer, and no pool gets machines meanwhile.
 constexpr milliseconds lease_ttl = 2s;
 constexpr milliseconds renew_interval = 600ms;
 constexpr milliseconds retry_interval = 200ms;
-/// Above the answers of a store that is a hundred times slower than its usual four milliseconds; short, so
-/// that the end of an outage is seen soon.
+/// Above the response time of a store that is a hundred times slower than its usual four milliseconds; short,
+/// so that the end of an outage is detected soon.
 constexpr milliseconds renew_timeout = 700ms;
-/// Our clock and the store's run apart, and the answer may be late.
+/// Covers drift between this node's clock and the store's, and late answers.
 constexpr milliseconds lease_safety_margin = 200ms;
-/// After a claim that the store refused. Short against the lease that a vacant duty has waited for.
+/// Pause after a claim that the store refused. Short compared with the lease that expires before a duty is
+/// vacant.
 constexpr milliseconds refused_claim_pause = 400ms;
-/// Between two looks at vacant duties.
+/// Interval between checks for vacant duties.
 constexpr milliseconds claim_interval = 100ms;
-/// After the first start nodes appear within this of each other; whoever claims earlier takes everything.
-/// Duties that had an owner before are claimed without it.
+/// At the first start of a deployment nodes appear within this time of each other, and a node that claims
+/// earlier takes all duties. Duties that had an owner before are claimed without this delay.
 constexpr milliseconds startup_claim_delay = 900ms;
-/// Between a node's turns to claim, so that the first choice wins without a race.
+/// Delay between the claims of successive nodes in the claim order, so that the first choice wins without a
+/// race.
 constexpr milliseconds claim_order_delay = 100ms;
-/// The last owner of a duty, if it lives, takes it up again without a takeover.
+/// Extra delay of other nodes while a duty's previous owner is alive, so that the previous owner reclaims the
+/// duty without a takeover.
 constexpr milliseconds previous_owner_head_start = 500ms;
 
 constexpr milliseconds watch_wait = 5s;
@@ -147,7 +150,7 @@
         m_renewed_at = asked_at;
         m_lease_confirmed_until = asked_at + answer.ttl - lease_safety_margin;
         for (auto& [duty, held] : m_owned) {
-            // Claims under an earlier lease prove nothing any more: others may have claimed in between.
+            // A claim under a previous lease confirms nothing: another node may have claimed the duty since.
             if (held.lease == m_lease) {
                 held.confirmed_until = m_lease_confirmed_until;
             }
@@ -251,10 +254,10 @@
     return delay;
 }
 
-/// How many nodes come before this one. Who would be loaded least comes first, so that duties spread by the
-/// nodes' processors; the hash decides between equals. Duties that are vacant together are dealt out one
-/// after the other, else one node could be the first choice for several of them: all nodes that see the same
-/// come to the same deal.
+/// Returns how many nodes precede this node in the claim order of a duty. The node whose load would be lowest
+/// comes first, so that duties are distributed by the nodes' processor shares; a hash breaks ties. Duties
+/// that are vacant at the same time are assigned one after the other, else one node could be the first choice
+/// for several of them. All nodes with the same view compute the same assignment.
 std::size_t membership_task::claim_position(const std::string& duty) const {
     std::map<std::string, std::size_t> duties;
     for (const auto& [name, alive] : m_live_keys) {
@@ -288,7 +291,7 @@
         const auto alive = m_live_keys.find(duty);
         const auto owner = m_owners.find(duty);
         const bool owned_by_self = owner != m_owners.end() && owner->second.owner.id == m_self.id;
-        // A key under the lease of our own earlier incarnation is a leftover: that process is gone.
+        // A key under the lease of this node's previous incarnation is stale: that process has ended.
         const bool is_stale = owned_by_self && alive != m_live_keys.end() && alive->second.lease != m_lease;
         if (alive != m_live_keys.end() && !is_stale) {
             m_vacant_since.erase(duty);
@@ -296,7 +299,7 @@
         }
         const bool is_claimable = startup_delay_passed || owner != m_owners.end();
         if (!ready || !is_claimable) {
-            continue; // The turns count from the moment when everybody may claim.
+            continue; // Claim delays count from the moment when all nodes may claim.
         }
         const timestamp since = m_vacant_since.try_emplace(duty, now).first->second;
         if (!m_pending_claims.contains(duty) && now - since >= claim_delay(duty)) {
@@ -342,15 +345,15 @@
         return;
     }
     if (answer.status == platform::store_status::conflict) {
-        m_watch.refresh(); // What we know is old: the watch may hang on a connection that went silent.
+        m_watch.refresh(); // The local copy is outdated: the watch may hang on an unresponsive connection.
     }
     if (answer.status == platform::store_status::refused) {
-        // The store counts refused calls as well. Without the pause each vacant duty is claimed ten times a
-        // second by every node for as long as the store is busy.
+        // The store counts refused calls as well. Without the pause every node claims each vacant duty ten
+        // times a second for as long as the store is busy.
         m_vacant_since[duty] = event_loop::now() + refused_claim_pause;
     }
     if (answer.status != platform::store_status::ok) {
-        return; // If it was carried out after all, the watch tells.
+        return; // If the claim was carried out after all, the watch reports it.
     }
     record_owner(duty, record);
     m_owner_revisions[duty] = std::max(m_owner_revisions[duty], answer.revision);
--- a/node/membership_task.hpp
+++ b/node/membership_task.hpp
@@ -12,14 +12,14 @@
 
 namespace siskinpaddle::node {
 
-/// A node as it registers itself.
+/// The registration of a node.
 struct node_record {
     std::string id;
-    std::string incarnation; ///< Drawn at each start.
+    std::string incarnation; ///< Generated at each start.
     std::string address;
     std::uint16_t port = 0;
     std::string availability_zone;
-    double processor_share = 1; ///< Of a core.
+    double processor_share = 1; ///< Fraction of a core.
 
     template <typename Archive>
     void serialize(Archive& archive) {
@@ -27,10 +27,10 @@
     }
 };
 
-/// Who owns a duty.
+/// The owner of a duty.
 struct owner_record {
     node_record owner;
-    std::uint32_t epoch = 0; ///< Counts the owners.
+    std::uint32_t epoch = 0; ///< Incremented at each change of owner.
 
     template <typename Archive>
     void serialize(Archive& archive) {
@@ -42,23 +42,22 @@
 struct ownership {
     std::string duty;
     std::uint32_t epoch = 0;
-    std::int64_t token = 0; ///< Fencing token: the store's revision of the claim, so it only rises.
-    bool was_previous_owner =
-        false; ///< This node, perhaps an earlier process of it, was the last owner as well.
+    std::int64_t token = 0; ///< Fencing token: the store's revision of the claim, so it only increases.
+    bool was_previous_owner = false; ///< The previous owner was this node, possibly as an earlier process.
 };
 
-/// Keeps this node registered under a lease, knows the other nodes, and claims duties that nobody owns.
+/// Keeps this node registered under a lease, tracks the other nodes, and claims duties that have no owner.
 /// Not thread-safe.
 ///
-/// A node owns a duty while its claim is the newest; whether others may have claimed it since is known only
-/// while the node's lease is certain by its own clock (`certain_until`). Past that the owner may go on for a
-/// bounded time with what fencing tokens protect; a successor waits out that time for VMs that it can't
-/// reach.
+/// A node owns a duty while its claim is the newest. Whether another node has claimed the duty since is known
+/// only while the node's lease is valid by the node's own clock (`confirmed_until`). After that the owner may
+/// continue, for a bounded time, with actions that fencing tokens protect; a successor waits until the end of
+/// that time for VMs that it can't reach.
 class membership_task {
   public:
     struct handlers {
         std::function<void(const ownership&)> gained; ///< Owned from now on, or again under a new token.
-        std::function<void(const std::string&)> lost; ///< Somebody else owns the duty.
+        std::function<void(const std::string&)> lost; ///< Another node owns the duty.
         std::function<void()> store_recovered;        ///< The store answers again after a failure.
     };
 
@@ -66,30 +65,32 @@
                     handlers on_change);
 
     void start();
-    /// Duties that should have an owner.
+    /// Sets the duties that should have an owner.
     void set_duties(std::set<std::string> duties);
-    /// Gives up one duty at once, so that another node can claim it.
+    /// Releases one duty at once, so that another node can claim it.
     void release(const std::string& duty);
-    /// Takes no more duties, and lets the others know that this node is no candidate any more.
+    /// Stops claiming duties and removes the node's registration, so that other nodes no longer count this
+    /// node as a candidate.
     void stop_claiming();
-    /// Ends the registration and all ownership; `done` is called once, answered or not.
+    /// Ends the registration and all ownership. `done` is called once, whether or not the store answers.
     void leave(std::function<void()> done);
 
     [[nodiscard]] const node_record& self() const noexcept { return m_self; }
     [[nodiscard]] std::optional<node_record> owner_of(const std::string& duty) const;
     [[nodiscard]] bool owns(const std::string& duty) const { return m_owned.contains(duty); }
-    /// Until when, by our own clock, nobody else can have claimed the duty; 0 if we don't own it.
+    /// Until when, by this node's clock, no other node can have claimed the duty; 0 if this node doesn't own
+    /// it.
     [[nodiscard]] timestamp confirmed_until(const std::string& duty) const;
-    /// Until when we may act as its owner at all.
+    /// Until when this node may act as the duty's owner at all; 0 if this node doesn't own it.
     [[nodiscard]] timestamp act_until(const std::string& duty) const;
-    /// When the store last renewed our lease.
+    /// When the last lease request that the store confirmed was sent.
     [[nodiscard]] timestamp renewed_at() const noexcept { return m_renewed_at; }
 
     /// How long after the end of its lease an owner may still act.
     static constexpr milliseconds grace_after_lease = 4s;
 
   private:
-    /// A duty that we own, and what proves it.
+    /// A duty that this node owns and the lease that confirms it.
     struct owned_duty {
         ownership item;
         std::int64_t lease = 0; ///< The lease under which it was claimed.
@@ -127,13 +128,13 @@
     timestamp m_registered_at{0};
     std::map<std::string, node_record> m_nodes;
     std::map<std::string, owner_record> m_owners;
-    std::map<std::string, std::string> m_previous_owners; ///< Duty -> the owner before the present one.
+    std::map<std::string, std::string> m_previous_owners; ///< Duty -> id of the owner before the current one.
     std::map<std::string, std::int64_t> m_owner_revisions;
     std::map<std::string, platform::store_item> m_live_keys; ///< Duty -> its key under the owner's lease.
     std::map<std::string, timestamp> m_vacant_since;
     std::map<std::string, owned_duty> m_owned;
     std::set<std::string> m_duties;
-    std::set<std::string> m_pending_claims; ///< Claims on their way.
+    std::set<std::string> m_pending_claims; ///< Claims in flight.
     bool m_claiming_enabled = true;
     bool m_renewal_failed = false;
     bool m_listed = false;
--- a/node/node.cpp
+++ b/node/node.cpp
@@ -10,18 +10,19 @@
 namespace {
 
 constexpr milliseconds tick_interval = 200ms;
-/// A tick this late is logged: an answer takes up to four turns of the loop, and those who ask wait 900 ms.
+/// A tick that is this late is logged: an answer takes up to four iterations of the loop, and its receivers
+/// wait 900 ms.
 constexpr milliseconds logged_lag = 100ms;
-/// The store was not reached for this long, neither from here nor through an owner elsewhere: no job can be
-/// accepted here, and the platform should send clients to other nodes. Above the interval of lease renewals
-/// (600 ms) and the answer of a slow store; one that was lost makes no difference, since the platform waits
-/// for two misses a second apart. Longer, a cut-off zone's clients come back to it until nobody would wait
-/// for them any more.
+/// If the store was reached for this long neither from this node nor through an owner on another node, this
+/// node can't accept jobs, and the platform should send clients to other nodes. The value lies above the
+/// interval of lease renewals (600 ms) plus the response time of a slow store. A single lost renewal has no
+/// effect, since the platform waits for two failed checks a second apart. With a longer value, clients of a
+/// zone that is cut off return to its nodes until their deadlines have passed.
 constexpr milliseconds store_reach_timeout = 1s;
 constexpr milliseconds peer_timeout = 800ms;
-/// After SIGTERM the platform needs two misses of its readiness check, one a second, to send no more.
+/// After SIGTERM the platform stops sending requests after two failed readiness checks, one a second.
 constexpr milliseconds shed_duration = 2500ms;
-/// Left of the grace period when the process ends whatever is open.
+/// The process ends all open requests this long before the end of the grace period.
 constexpr milliseconds exit_margin = 700ms;
 
 } // namespace
@@ -116,8 +117,8 @@
         return;
     }
     if (known != m_pools.end()) {
-        // Another owner had it in between: what this task knows is old. Not deleted from inside its own
-        // callback.
+        // Another node owned the pool in between, so the state of this task is outdated. The task is deleted
+        // later, since this function may run inside one of its callbacks.
         m_loop.post([old = std::shared_ptr<pool_task>(std::move(known->second))] {});
         m_pools.erase(known);
     }
@@ -131,8 +132,8 @@
 }
 
 void node::duty_lost(const std::string& duty) {
-    log_event(event_id::duty_lost, {{"duty", duty}, {"found_by", "claim of another"}});
-    // Not from inside a callback of the task itself.
+    log_event(event_id::duty_lost, {{"duty", duty}, {"found_by", "claim by another node"}});
+    // Deferred, since this function may run inside a callback of the task.
     m_loop.post([this, duty] {
         if (m_membership.owns(duty)) {
             return;
@@ -144,7 +145,8 @@
     });
 }
 
-/// Watches that were waiting when the store went away may hang on silent connections for seconds.
+/// Lists everything again: watches that were pending when the store failed may hang on unresponsive
+/// connections for seconds.
 void node::handle_store_recovery() {
     m_configuration.refresh();
     for (const auto& [duty, task] : m_pools) {
@@ -160,7 +162,7 @@
         return false;
     }
     if (event_loop::now() >= m_membership.act_until(task->first)) {
-        return false; // Perhaps no longer ours: the store knows.
+        return false; // Another node may own the pool by now; the store holds the current owner.
     }
     task->second->handle(request, guaranteed_reply::make(done, m_lifetime.weak_token()));
     return true;
--- a/node/node.hpp
+++ b/node/node.hpp
@@ -11,17 +11,17 @@
 
 namespace siskinpaddle::node {
 
-/// One node process put together: its tasks on one loop, their start and their graceful stop. Not
+/// A node process: creates its tasks on one event loop, and starts and gracefully stops them. Not
 /// thread-safe.
 class node {
   public:
     node(event_loop& loop, const node_settings& settings);
 
-    /// Binds every listener. Findings name each address that can't be bound.
+    /// Binds all listeners. Findings name each address that can't be bound.
     [[nodiscard]] findings listen();
     /// Precondition: listen() returned no findings.
     void start();
-    /// Hands over its duties, answers what is in progress, then calls `stopped`, within the grace period.
+    /// Releases all duties, answers the requests in progress, then calls `stopped`, within the grace period.
     void stop(std::function<void()> stopped);
 
   private:
@@ -58,7 +58,7 @@
     timestamp m_stop_at{0};
     std::size_t m_stopping_pools = 0;
     timestamp m_tick_due{0};
-    milliseconds m_longest_lag{0}; ///< Of a tick behind its time, since the metrics were last read.
+    milliseconds m_longest_lag{0}; ///< Longest delay of a tick since the metrics were last read.
     bool m_was_ready = false;
     bool m_store_reachable = false;
     bool m_stopping = false;
--- a/node/node_settings.cpp
+++ b/node/node_settings.cpp
@@ -13,7 +13,7 @@
     return inet_pton(AF_INET, text.c_str(), &parsed) == 1;
 }
 
-/// "ADDRESS:PORT".
+/// Reads an endpoint in the form "ADDRESS:PORT".
 endpoint read_endpoint(json_object& root, std::string_view key, findings& out) {
     const std::string text = root.text(key);
     const std::size_t colon = text.rfind(':');
@@ -23,12 +23,12 @@
         std::from_chars(text.data() + colon + 1, text.data() + text.size(), where.port);
     }
     if (!is_ipv4_address(where.address) || where.port == 0) {
-        out.add(root.path_of(key), "must be IPv4-NUMBER:PORT");
+        out.add(root.path_of(key), "must be IPv4-ADDRESS:PORT");
     }
     return where;
 }
 
-/// A duration given as a number that may have a fraction.
+/// Reads a duration given as a number, which may have a fraction.
 milliseconds read_duration(json_object& root, std::string_view key, double unit_ms, double max_ms,
                            findings& out) {
     const boost::json::value* value = root.child(key);
@@ -60,7 +60,7 @@
     settings.readiness = read_endpoint(root, "readiness", out);
     const std::string address = root.text("address");
     if (!is_ipv4_address(address)) {
-        out.add("/address", "must be an IPv4 number");
+        out.add("/address", "must be an IPv4 address");
     }
     settings.peers = {address, static_cast<std::uint16_t>(root.number("peer_port", {1, 65'535}))};
     settings.metrics = {address, static_cast<std::uint16_t>(root.number("metrics_port", {1, 65'535}))};
--- a/node/peer_client.cpp
+++ b/node/peer_client.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Kept open between the calls of a busy node; a handshake costs more than an idle descriptor.
+/// Connections stay open between the calls of a busy node: a handshake costs more than an idle descriptor.
 constexpr milliseconds max_connection_idle = 20s;
 constexpr const char* content_type = "application/octet-stream";
 
--- a/node/peer_client.hpp
+++ b/node/peer_client.hpp
@@ -7,8 +7,8 @@
 
 namespace siskinpaddle::node {
 
-/// Calls other nodes: HTTP with cereal bodies. A connection that can't be made answers `unreachable`, one
-/// that ends without an answer `unknown`.
+/// Calls other nodes over HTTP with cereal bodies. The outcome is `unreachable` if no connection can be made,
+/// and `unknown` if a call ends without a valid answer.
 class peer_client {
   public:
     using callback = std::function<void(const peer_answer&)>;
--- a/node/peer_protocol.hpp
+++ b/node/peer_protocol.hpp
@@ -8,24 +8,24 @@
 
 namespace siskinpaddle::node {
 
-/// What one node asks of another.
+/// Kind of a request from one node to another.
 enum class peer_request_kind : std::uint8_t {
     submit,       ///< Accept a job.
-    status,       ///< Tell a job's phase.
+    status,       ///< Return a job's phase.
     cancel,       ///< Cancel a job.
-    count,        ///< Tell how many jobs of a queue have not begun.
-    demand_query, ///< Keep these VMs empty; tell the pool's demand and its VMs.
+    count,        ///< Return how many jobs of a queue have not started.
+    demand_query, ///< Keep the listed VMs empty; return the pool's demand and its VMs.
 };
 
-/// How a peer answered.
+/// Outcome of a request to a peer.
 enum class peer_outcome : std::uint8_t {
     ok,
     not_owner,
     unknown_job,
-    overloaded,  ///< Not accepted; never runs.
+    overloaded,  ///< Not accepted; the job never runs.
     unavailable, ///< Not carried out.
-    unreachable, ///< Not sent.
-    unknown      ///< It may have been carried out.
+    unreachable, ///< The request was not sent.
+    unknown      ///< The request may have been carried out.
 };
 
 struct peer_request {
@@ -35,11 +35,11 @@
     std::string queue;
     jobs::job_spec spec; ///< With `submit`.
     std::vector<std::string>
-        vms_to_empty; ///< With `fleet_look`: all VMs that are to be empty; others may work again.
-    std::uint64_t arriving_vms = 0; ///< With `fleet_look`: VMs that are on their way to the pool.
+        vms_to_empty;               ///< With `demand_query`: all VMs to keep empty; others may get tasks.
+    std::uint64_t arriving_vms = 0; ///< With `demand_query`: VMs that are being moved to the pool.
     std::uint64_t obtainable_machines =
-        0; ///< With `fleet_look`: machines that no pool wanted in the round before.
-    std::int64_t configuration_version = 0; ///< Version in force at the sender.
+        0; ///< With `demand_query`: machines that no pool requested last round.
+    std::int64_t configuration_version = 0; ///< Configuration version in force at the sender.
 
     template <typename Archive>
     void serialize(Archive& archive) {
@@ -53,11 +53,11 @@
     std::uint8_t phase = 0;
     std::uint64_t count = 0;
     std::int64_t inbox_age_ms =
-        0; ///< With `count` and `overloaded`: how old the owner's copy of the inbox may be.
+        0; ///< With `count` and `overloaded`: maximum age of the owner's copy of the inbox.
     std::int64_t retry_after_ms = 0;
-    jobs::pool_demand demand;               ///< With `fleet_look`.
-    std::int64_t configuration_version = 0; ///< Version in force at the answering node.
-    std::int64_t store_age_ms = 0; ///< How long ago the store last renewed the answering node's lease.
+    jobs::pool_demand demand;               ///< With `demand_query`.
+    std::int64_t configuration_version = 0; ///< Configuration version in force at the responding node.
+    std::int64_t store_age_ms = 0; ///< Time since the store last renewed the responding node's lease.
 
     template <typename Archive>
     void serialize(Archive& archive) {
--- a/node/siskinpaddle_node.cpp
+++ b/node/siskinpaddle_node.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// What a running process takes over from changed settings: nothing yet but the report of their findings.
+/// Validates the changed settings and logs the findings; a running process doesn't apply any changed setting.
 void recheck_settings(const std::string& path) {
     std::ostringstream problems;
     if (load_settings(path, node::parse_node_settings, problems)) {
@@ -39,12 +39,12 @@
 } // namespace
 
 int main(int argc, char** argv) {
-    // Until it is handled: settings that change while the process starts must not end it.
+    // Ignored until its handler is installed: a settings change during the start must not end the process.
     std::signal(SIGHUP, SIG_IGN);
     try {
         TCLAP::CmdLine line(
-            "Node process of siskinpaddle on the users' platform: takes clients' jobs, and owns "
-            "pools and the fleet's orders when it holds their duties. Exit codes: 0 good, 1 "
+            "siskinpaddle node process: accepts clients' jobs, and manages pools and the fleet while it "
+            "holds their duties. Exit codes: 0 good, 1 "
             "failed, 2 bad settings.",
             ' ', SISKINPADDLE_VERSION);
         TCLAP::ValueArg<std::string> file("s", "settings", "Settings file (JSON).", true, "", "FILE", line);
@@ -54,7 +54,7 @@
         line.parse(argc, argv);
         const auto min_level = value_named<event_level>(level.getValue());
         if (!min_level) {
-            std::cerr << "--log-level: '" << level.getValue() << "' is not a level\n";
+            std::cerr << "--log-level: '" << level.getValue() << "' is not a log level\n";
             return exit_invalid_settings;
         }
         const auto settings = load_settings(file.getValue(), node::parse_node_settings, std::cerr);
--- a/node/vm_directory.cpp
+++ b/node/vm_directory.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-/// A watch is cut and begun anew this often; a connection that went silent is found within this time.
+/// A watch ends and is renewed after this time, so that an unresponsive connection is detected within it.
 constexpr milliseconds watch_wait = 2s;
-/// Each VM writes its registration every second and a half, so watches of many VMs would return all the time:
+/// Each VM writes its registration every second and a half; without a pause, watches of many VMs would return
+/// continuously.
 constexpr milliseconds watch_pause = 400ms;
-/// While machines are on their way to the pool: each tenth of a second that they idle there is paid for, and
-/// callers wait for them.
+/// Used while machines are being moved to the pool: each tenth of a second that a machine idles there is paid
+/// for, and clients wait for the machines.
 constexpr milliseconds expected_changes_pause = 60ms;
 
 } // namespace
@@ -52,10 +53,11 @@
     m_on_change(incarnation, info);
 }
 
-/// Whoever writes over a VM's entry doesn't speak for the VM: what the entry said before may no longer hold,
-/// such as whether the VM drains. So the VM gets no new work, as one that is no longer listed, until its
-/// entry can be read again. What runs there goes on under its lease. Without this, tasks were started on a VM
-/// that nobody vouched for. Each problem is logged once, however often it is written.
+/// An entry that another program has overwritten doesn't describe the VM: values of the previous entry, such
+/// as whether the VM drains, may no longer hold. The VM therefore gets no new work, like a VM that is no
+/// longer listed, until its entry can be read again; its current runs continue under their lease. Otherwise
+/// tasks would be started on a VM whose state is not confirmed. Each problem is logged once, however often it
+/// is written.
 void vm_directory::record_unusable(const std::string& incarnation, std::int64_t revision,
                                    const finding& problem) {
     const auto [known, is_new] = m_unusable.try_emplace(incarnation, problem);
--- a/node/vm_directory.hpp
+++ b/node/vm_directory.hpp
@@ -4,27 +4,27 @@
 
 namespace siskinpaddle::node {
 
-/// The VMs that the platform lists, of all pools. An entry that is no whole registration lists no VM. Not
-/// thread-safe: it belongs to its event loop.
+/// The VMs of all pools that the platform lists. An entry that is not a complete registration lists no VM.
+/// Not thread-safe: the directory belongs to its event loop.
 class vm_directory {
   public:
-    /// `on_change` gets a VM's key as the incarnation and what it tells now, or nothing when it is no longer
-    /// listed: its entry is gone, or can't be read.
+    /// `on_change` gets a VM's key as its incarnation, and its current registration, or nothing when the VM
+    /// is no longer listed: its entry is removed or can't be read.
     using change_handler = std::function<void(const std::string& vm, const std::optional<jobs::vm_info>&)>;
 
     vm_directory(event_loop& loop, platform::store_client& store, change_handler on_change);
 
     void start(std::function<void()> on_ready);
 
-    /// VMs are about to appear: look more often.
+    /// Sets whether VMs are about to appear; the entries are then polled frequently.
     void expect_changes(bool expected);
-    /// The copy holds all that VMs had written up to this moment, by our own clock.
+    /// The copy holds everything that VMs had written up to this time, by this node's clock.
     [[nodiscard]] timestamp complete_until() const noexcept { return m_watch.complete_until(); }
-    /// Reads anew at once.
+    /// Lists the entries again at once.
     void refresh() { m_watch.refresh(); }
 
     [[nodiscard]] const std::map<std::string, jobs::vm_info>& vms() const noexcept { return m_vms; }
-    /// Whether there is an entry for the VM, also one that can't be read.
+    /// Returns whether the VM has an entry, including one that can't be read.
     [[nodiscard]] bool is_registered(const std::string& vm) const {
         return m_vms.contains(vm) || m_unusable.contains(vm);
     }
@@ -36,7 +36,7 @@
 
     change_handler m_on_change;
     std::map<std::string, jobs::vm_info> m_vms;
-    std::map<std::string, finding> m_unusable; ///< Entries that list no VM, and what was found first.
+    std::map<std::string, finding> m_unusable; ///< Entries that list no VM, each with its first problem.
     watch_task m_watch;
 };
 
--- a/node/watch_task.cpp
+++ b/node/watch_task.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-/// Pause before a failed call is repeated: short, since what is watched must be known within two seconds,
-/// and doubled up to a bound, since the store counts each call.
+/// Delay before a failed call is repeated: short, since changes must be known within two seconds, and doubled
+/// up to a limit, since the store counts each call.
 constexpr milliseconds initial_retry_delay = 50ms;
 constexpr milliseconds max_retry_delay = 400ms;
-/// A listing that has run for this long may hang on a connection that went silent: another one is begun
-/// beside it ...
+/// A listing that has run for this long may hang on an unresponsive connection; a refresh then starts another
+/// one.
 constexpr milliseconds listing_timeout = 1s;
-/// ... but not while a large value may still be on its way: over a narrow link each of the two would take the
-/// other's bytes, and none would ever be whole.
+/// The timeout is at least this many times the transfer time of a large value: over a narrow link, two
+/// listings at once would compete for bandwidth and neither would complete.
 constexpr int transfer_time_factor = 3;
 
 } // namespace
@@ -36,8 +36,8 @@
     refresh();
 }
 
-/// What is given up is given up on the wire, too: large values that nobody waits for any more would fill a
-/// slow link and make the next reading late as well.
+/// Cancels the pending watch on the wire as well: large values that are no longer needed would fill a slow
+/// link and delay the next listing.
 void watch_task::refresh() {
     const milliseconds timeout =
         std::max(listing_timeout, transfer_time_factor * m_store.transfer_time(platform::large_value_bytes));
@@ -53,7 +53,7 @@
 void watch_task::begin_listing() {
     m_is_listing = true;
     m_listing_begun_at = event_loop::now();
-    // The retry of a listing or watch before this one would empty what this one has listed so far.
+    // A retry of the previous listing or watch would clear what this listing reads.
     m_retry_action = {};
     ++m_round;
     list({}, m_round);
@@ -113,7 +113,8 @@
     }
     record_success();
     if (m_listing_revision == 0) {
-        // Pages are no snapshot: what changes while they are read shows in a watch from the first one.
+        // The pages are not a snapshot: changes during the listing appear in a watch from the first page's
+        // revision.
         m_listing_revision = answer.revision;
     }
     std::string last;
@@ -199,8 +200,8 @@
         apply(item);
     }
     m_revision = std::max(m_revision, answer.revision);
-    // A watch without a change was answered when its wait was over, one with changes at any time since it was
-    // sent.
+    // A watch without changes is answered at the end of its wait; one with changes may have been answered at
+    // any time since it was sent.
     const milliseconds waited = answer.items.empty() ? m_wait : milliseconds(0);
     m_complete_until = std::max(m_complete_until, std::min(event_loop::now(), m_watch_sent_at + waited));
     if (!m_running || round != m_round) {
--- a/tests/node/busy_loop_test.cpp
+++ b/tests/node/busy_loop_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A store on a thread and a loop of its own, so that only the client's loop is busy.
+/// A store on its own thread and event loop, so that only the client's loop is busy.
 class separate_store {
   public:
     separate_store() : m_thread([this] { run(); }) {
@@ -43,8 +43,7 @@
     std::thread m_thread;
 };
 
-/// Makes each turn of the loop take four handlers of a quarter of `length` each; `handled` is called at the
-/// end of each.
+/// Blocks each iteration of the loop for `length`, in four parts; `handled` is called after each part.
 void make_busy(event_loop& loop, std::unique_ptr<timer>& busy, milliseconds length,
                const std::function<void()>& handled = {}) {
     busy = loop.make_timer([&busy, length, handled] {
@@ -61,11 +60,10 @@
 
 } // namespace
 
-TEST_CASE("a store that answers at once does not count as failing at a node that is busy itself") {
-    // Entries leave jobs in the inbox by the hundred, or refuse them with 503, "the store fails", while the
-    // store answers each call within milliseconds. The loop of the pool's owner takes 200 ms a turn; a call
-    // takes three turns there, so that one has always waited for over half a second: an answer that is not
-    // read yet is taken for the store's silence, and every submit is turned down.
+TEST_CASE("a store that answers at once does not count as failing at a busy node") {
+    // Guards against submits that are refused with 503 or left in the inbox although the store answers within
+    // milliseconds: with loop iterations of 200 ms a call takes three of them, over half a second, and its
+    // unread answer must not count as a failure of the store.
     for (const milliseconds iteration_time : {100ms, 150ms, 200ms, 240ms}) {
         separate_store store;
         event_loop loop;
@@ -80,19 +78,19 @@
             client.get("k", [&](const platform::store_answer&) { ++answered; });
         });
         REQUIRE(loop_until(loop, [&] { return answered >= 40; }));
-        INFO("turn ", iteration_time.count(), " ms, looks ", check_count);
+        INFO("iteration ", iteration_time.count(), " ms, checks ", check_count);
         CHECK(failing == 0);
     }
 }
 
 TEST_CASE("a busy node stores a full batch of large jobs") {
-    // In the peak of a turn no large job is accepted by its owner, and all are late: 31 jobs of 4,000 bytes
-    // are stored in one transaction of 170 KB, of which 16 KB leave in a turn of the loop. At 150 ms a turn
-    // it is given up half sent after 1.5 s, and sent again as it was for as long as the load lasts.
+    // Guards against a batch that is never stored: 31 jobs of 4,000 bytes form one transaction of 170 KB, of
+    // which 16 KB are sent in each iteration of the loop. At 150 ms an iteration the call times out half sent
+    // after 1.5 s, and a retry of the same call fails in the same way while the load lasts.
     constexpr std::size_t payload = 4000;
     constexpr std::size_t jobs = platform::max_transaction_entries - 1;
     for (const milliseconds iteration_time : {50ms, 100ms, 150ms, 200ms}) {
-        INFO("turn ", iteration_time.count(), " ms");
+        INFO("iteration ", iteration_time.count(), " ms");
         separate_store store;
         event_loop loop;
         platform::store_client client(loop, store.where());
--- a/tests/node/configuration_test.cpp
+++ b/tests/node/configuration_test.cpp
@@ -5,10 +5,10 @@
 using namespace siskinpaddle;
 using namespace siskinpaddle::tests;
 
-TEST_CASE("peers that know a newer version don't make a node read the configuration over and over") {
-    // A queue that the operator added ten seconds ago is answered with 404 by one node. Its link is slow and
-    // the configuration large; each answer of a peer named the newer version, each began another reading, and
-    // the readings that were given up for it used the link up.
+TEST_CASE("repeated reports of a newer version by peers cause a single read of the configuration") {
+    // Guards against a node that refuses a queue with 404 ten seconds after the operator added it: over a
+    // slow link, each peer's answer that named the newer version restarted the read of a large configuration,
+    // and the abandoned reads used up the link.
     start_test_log();
     event_loop loop;
     fakes::platform_store store(loop);
@@ -30,7 +30,7 @@
     CHECK(store.call_count(range_path) == before + 1);
 }
 
-TEST_CASE("a newer version that only peers know of is read, though the watch brings nothing") {
+TEST_CASE("a newer version that only peers report is read, though the watch returns nothing") {
     start_test_log();
     event_loop loop;
     fakes::platform_store store(loop);
--- a/tests/node/node_deployment.hpp
+++ b/tests/node/node_deployment.hpp
@@ -19,7 +19,7 @@
 
 namespace siskinpaddle::tests {
 
-/// A job of one task as an entry leaves it in the pool's inbox.
+/// A job of one task as an entry stores it in the pool's inbox.
 inline jobs::job_record one_task_record(const std::string& id) {
     jobs::job_record record;
     record.spec.id = id;
@@ -29,8 +29,8 @@
     return record;
 }
 
-/// Real nodes on one loop against the stand-ins of the store and of VMs, over real sockets. Destroying a node
-/// is what a kill looks like to all others.
+/// Runs real nodes on one event loop against fakes of the store and of VMs, over real sockets. To the other
+/// nodes the destruction of a node object is the same as the kill of a process.
 class node_deployment {
   public:
     struct running_node {
@@ -75,7 +75,7 @@
         settings.peers = {"127.0.0.1", free_port()};
         settings.metrics = {"127.0.0.1", free_port()};
         settings.store = {"127.0.0.1", store.port()};
-        settings.machines = {"127.0.0.1", 1}; // Nobody listens: machines stay where they are.
+        settings.machines = {"127.0.0.1", 1}; // No process listens here: machines are not moved.
         settings.vm_lease = 6s;
         settings.min_order_interval = 3s;
         settings.grace_period = 6s;
@@ -97,7 +97,7 @@
         return *vms.back();
     }
 
-    /// A machine whose VM begins another life a moment after each crash.
+    /// Adds a machine whose VM starts a new incarnation shortly after each crash.
     fakes::task_machine& add_machine(const std::string& name, milliseconds run_time) {
         fakes::task_machine::settings options;
         options.name = name;
@@ -107,9 +107,9 @@
         return *machines.back();
     }
 
-    /// Sends over a connection of its own and waits for the answer.
+    /// Sends over a new connection and waits for the answer.
     http_answer answer_to(http_call request) {
-        request.timeout = 6s; // Above the deadline that the call names.
+        request.timeout = 6s; // Above the deadline in the call's headers.
         request.fresh_connection = true;
         http_answer result;
         bool done = false;
@@ -152,7 +152,7 @@
         });
     }
 
-    /// Leaves jobs of one task in the pool's inbox, as entries do whose clients are told that they are
+    /// Stores jobs of one task in the pool's inbox, as entries do before they report the jobs to clients as
     /// accepted.
     void store_in_inbox(const std::string& first_digits, std::size_t jobs) {
         for (std::size_t i = 0; i < jobs; ++i) {
@@ -164,7 +164,7 @@
         }
     }
 
-    /// How many jobs the node says to wait; nothing if it doesn't say.
+    /// Returns the number of waiting jobs that the node reports; nothing if it reports none.
     std::optional<std::int64_t> pending_count(const std::string& node) {
         const http_answer answer = call(node, "GET", "/quotes/");
         if (answer.code != 200) {
@@ -173,7 +173,7 @@
         return boost::json::parse(answer.body).at("pending").to_number<std::int64_t>();
     }
 
-    /// Waits until a status call through `node` shows the phase.
+    /// Waits until a status call through `node` returns the phase.
     bool reaches_phase(const std::string& node, const std::string& job, const std::string& phase) {
         return until([&] {
             const http_answer answer = call(node, "GET", "/quotes/" + job);
@@ -181,12 +181,12 @@
         });
     }
 
-    /// Waits until the node takes jobs.
+    /// Waits until the node accepts jobs.
     void wait_until_serving(const std::string& node) {
         REQUIRE(until([&] { return call(node, "GET", "/quotes/").code == 200; }));
     }
 
-    /// The VM "v1" and the node "n1", which takes jobs.
+    /// Adds the VM "v1", starts the node "n1" and waits until the node accepts jobs.
     void serve_with_one_vm(milliseconds run_time) {
         add_vm("v1", run_time);
         start_node("n1");
@@ -204,7 +204,7 @@
         });
     }
 
-    /// A figure from the node's metrics address; -1 when it doesn't tell one.
+    /// Returns a value from the node's metrics endpoint; -1 if the node doesn't report it.
     std::int64_t metric(const std::string& node, const std::string& name) {
         http_call request;
         request.to = nodes[node].settings->metrics;
@@ -221,7 +221,7 @@
         return -1;
     }
 
-    /// Checks from the VMs' own records that no task ran twice at a time or again after it was done.
+    /// Checks from the VMs' own records that no task ran twice at the same time, or again after it was done.
     void check_runs_once() const {
         std::map<std::string, std::vector<fakes::task_vm::run_record>> by_task;
         for (const auto& vm : vms) {
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -11,7 +11,7 @@
 
 } // namespace
 
-TEST_CASE("a job is accepted, run and told through any node") {
+TEST_CASE("any node accepts a job and reports its phase") {
     node_deployment d;
     d.add_vm("v1", 100ms);
     d.start_node("n1");
@@ -19,7 +19,7 @@
     d.wait_until_serving("n1");
     d.wait_until_serving("n2");
     CHECK(d.call("n1", "POST", "/quotes/" + job_a, d.job_body(4)).code == 200);
-    CHECK(d.call("n2", "POST", "/quotes/" + job_a, d.job_body(4)).code == 200); // A repeat is the same job.
+    CHECK(d.call("n2", "POST", "/quotes/" + job_a, d.job_body(4)).code == 200); // Repeated submit.
     CHECK(d.reaches_phase("n1", job_a, "completed"));
     CHECK(d.reaches_phase("n2", job_a, "completed"));
     CHECK(d.done_runs() == 4);
@@ -33,8 +33,8 @@
 }
 
 TEST_CASE("a job survives its owner, and no task of it runs twice") {
-    // A seat is sold twice, or never. The pool's owner is killed while tasks run; a task that was done and a
-    // task that still runs must both be found by the next owner.
+    // Guards against tasks that run twice or never when the pool's owner is killed while tasks run: the next
+    // owner must find both the tasks that are done and the tasks that still run.
     node_deployment d;
     d.add_vm("v1", 1500ms);
     d.add_vm("v2", 1500ms);
@@ -60,9 +60,9 @@
     d.check_runs_once();
 }
 
-TEST_CASE("while the store is away jobs are refused at once, and what runs goes on") {
-    // A traveller's desk waits three seconds for each try: every submit hung until its call to the store
-    // timed out.
+TEST_CASE("while the store is unresponsive jobs are refused at once, and running tasks continue") {
+    // Guards against submits that hang until their call to the store times out, while a client waits only
+    // three seconds for each attempt.
     node_deployment d;
     d.serve_with_one_vm(3000ms);
     CHECK(d.call("n1", "POST", "/quotes/" + job_a, d.job_body(1)).code == 200);
@@ -81,8 +81,8 @@
     CHECK(d.done_runs() == 1);
 }
 
-TEST_CASE("a write whose answer is lost neither loses nor doubles a job") {
-    // A confirmation is refused and yet carried out. The store had taken the record; its answer never came.
+TEST_CASE("a write whose answer is lost neither loses nor duplicates a job") {
+    // Guards against a job that is refused and yet runs: the store stores the record, and its answer is lost.
     node_deployment d;
     d.serve_with_one_vm(100ms);
     d.store.lose_answers(1);
@@ -110,7 +110,7 @@
     CHECK(d.vms[0]->runs().size() == 2);
 }
 
-TEST_CASE("a configuration comes into force and never goes back") {
+TEST_CASE("a configuration comes into force and never reverts to an older one") {
     node_deployment d;
     d.serve_with_one_vm(100ms);
     d.configure(d.configuration(7, "/fares/"));
@@ -123,7 +123,7 @@
     CHECK(d.call("n1", "GET", "/quotes/").code == 404);
 }
 
-TEST_CASE("leases of the store that lapse in an outage cost no run") {
+TEST_CASE("store leases that expire in an outage end no run") {
     node_deployment d;
     d.serve_with_one_vm(4000ms);
     CHECK(d.call("n1", "POST", "/quotes/" + job_a, d.job_body(3)).code == 200);
@@ -134,7 +134,7 @@
     d.check_runs_once();
 }
 
-TEST_CASE("a VM that goes silent loses its tasks to another, once they have certainly ended") {
+TEST_CASE("tasks of an unresponsive VM move to another VM once their runs have certainly ended") {
     node_deployment d;
     d.serve_with_one_vm(60'000ms);
     CHECK(d.call("n1", "POST", "/quotes/" + job_a, d.job_body(2)).code == 200);
@@ -145,10 +145,10 @@
     d.check_runs_once();
 }
 
-TEST_CASE("a job that was handed in and cancelled while no owner could be reached never starts") {
-    // A cancelled booking runs for a moment, four seconds after its cancelling was confirmed. Both requests
-    // lay in the pool's inbox; the owner read them together, found no job to cancel yet, took the job and
-    // started it.
+TEST_CASE("a job that was submitted and cancelled while no owner could be reached never starts") {
+    // Guards against a cancelled job that starts four seconds after its cancellation was confirmed: the owner
+    // reads both requests from the inbox together, finds no job to cancel yet, then accepts the job and
+    // starts it.
     node_deployment d;
     d.add_vm("v1", 60'000ms);
     const jobs::job_record record = one_task_record(job_a);
@@ -161,10 +161,10 @@
     CHECK(d.until([&] { return d.store.count("sp/inbox/") == 0; }));
 }
 
-TEST_CASE("a job that an entry left in the inbox while its pool's owner claimed anew is not forgotten") {
-    // A booking is accepted and stays queued for ever. The owner's lease had lapsed and it claimed anew;
-    // before it heard that its claim had succeeded it took the job from the inbox under its old token, was
-    // refused, and never tried again.
+TEST_CASE("a job that an entry stores in the inbox while the pool's owner claims again is not forgotten") {
+    // Guards against an accepted job that stays queued: the owner's lease expires and it claims the pool
+    // again; before the claim's answer arrives the owner accepts the job from the inbox under its old token,
+    // is refused, and must retry.
     node_deployment d;
     d.serve_with_one_vm(100ms);
     const jobs::job_record record = one_task_record(job_a);
@@ -184,10 +184,10 @@
     CHECK(d.until([&] { return d.store.count("sp/inbox/") == 0; }));
 }
 
-TEST_CASE("a write about an inbox job that is carried out late does not bring the job back") {
-    // Seconds after a booking was done its record is there again, and the next owner that outlives the memory
-    // of its end books a second time. The first write that took it from the inbox was not answered; it was
-    // repeated, and the first one was carried out after the job had ended.
+TEST_CASE("a write for an inbox job that is carried out late does not restore the job") {
+    // Guards against a job's record that reappears after the job ended, so that a later owner runs the job
+    // again: the first write that accepts the job from the inbox gets no answer and is repeated, and the
+    // store carries out the first one after the job has ended.
     node_deployment d;
     d.serve_with_one_vm(100ms);
     const jobs::job_record record = one_task_record(job_a);
@@ -195,7 +195,7 @@
     const std::string inbox = "sp/inbox/p/submit/" + job_a;
     d.store.put(inbox, encode_archive(record));
     REQUIRE(d.until([&] { return d.store.pending_late_writes() == 1; }));
-    CHECK(d.store.contains(inbox)); // It is the write that takes the job which is late.
+    CHECK(d.store.contains(inbox)); // The late write is the one that accepts the job.
     CHECK(d.reaches_phase("n1", job_a, "completed"));
     REQUIRE(d.until([&] { return d.store.pending_late_writes() == 0; }));
     CHECK(d.until([&] { return d.store.count("sp/job/p/") == 0; }));
@@ -203,9 +203,9 @@
 }
 
 TEST_CASE("a submit whose owner loses the pool meanwhile is answered, and not as refused") {
-    // An agency's desk is told "500" for a booking that runs. The job's record was stored, the store's answer
-    // was lost, and before the owner asked again another node owned the pool; whoever waited for the answer
-    // was dropped with the old owner's state.
+    // Guards against a 500 for a job that runs: the job's record is stored, the store's answer is lost, and
+    // before the owner asks again another node owns the pool. The pending reply must not be dropped with the
+    // previous owner's state.
     node_deployment d;
     d.serve_with_one_vm(100ms);
     bool stored = false;
@@ -216,16 +216,16 @@
                 other.owner.id = "n2";
                 other.owner.incarnation = "another";
                 other.owner.address = "127.0.0.1";
-                other.owner.port = 1; // Nobody listens.
+                other.owner.port = 1; // No process listens here.
                 other.epoch = 7;
                 d.store.put("sp/ctl/own/pool/p", encode_archive(other));
-                d.store.remove("sp/ctl/live/pool/p"); // That node is gone again.
+                d.store.remove("sp/ctl/live/pool/p"); // The other node has ended.
             });
         }
     });
     d.store.lose_answers(1);
     const int code = d.call("n1", "POST", "/quotes/" + job_a, d.job_body(1)).code;
-    CHECK((code == 200 || code == 504)); // Found stored, or, while the store seems to fail, not known.
+    CHECK((code == 200 || code == 504)); // 200: found stored; 504: unknown, while the store seems to fail.
     CHECK(stored);
     d.store.on_change({});
     CHECK(d.reaches_phase("n1", job_a, "completed")); // n1 has claimed the pool again.
--- a/tests/node/readiness_test.cpp
+++ b/tests/node/readiness_test.cpp
@@ -14,7 +14,7 @@
     return d.answer_to(std::move(request)).code;
 }
 
-/// Asks for the job over a connection that the client would keep.
+/// Requests the job's status over a connection that the client would keep open.
 http_answer status_over_kept_connection(node_deployment& d, const std::string& node) {
     http_call request;
     request.to = d.nodes[node].settings->clients;
@@ -37,10 +37,10 @@
 
 } // namespace
 
-TEST_CASE("an entry that is cut off together with a pool's owner sends its clients away") {
-    // Every quote of one zone is refused for as long as the zone is partitioned, although the nodes of the
-    // other zones serve. The entry can't reach the store, but the owner in its own zone answers what it
-    // knows, so the entry went on calling itself ready; and clients kept their open connections to it.
+TEST_CASE("an entry that is cut off together with a pool's owner asks its clients to reconnect") {
+    // Guards against clients that are refused in a partitioned zone although nodes of other zones serve: the
+    // entry can't reach the store, but the owner in its zone still responds. The entry must report that it is
+    // not ready and close the connections that clients keep open.
     node_deployment d;
     d.serve_with_one_vm(60'000ms);
     d.start_node("n2");
@@ -55,7 +55,7 @@
         status = status_over_kept_connection(d, "n2");
         return is_closed_after_reply(status);
     }));
-    CHECK(status.code == 200); // The owner still answers.
+    CHECK(status.code == 200); // The owner still responds.
     CHECK(readiness_of(d, "n2") == 503);
 
     d.store.set_silent(false);
--- a/tests/node/silent_store_test.cpp
+++ b/tests/node/silent_store_test.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/// Half of what a client waits: enough for another try.
+/// Half of a client's deadline: enough for another attempt.
 constexpr milliseconds half_deadline = 1500ms;
 
 std::string job_number(std::size_t number) {
@@ -13,7 +13,7 @@
     return std::string(16 - digits.size(), '0') + digits;
 }
 
-/// Hands jobs in at the same moment, each over a connection of its own.
+/// Submits jobs at the same moment, each over its own connection.
 struct concurrent_submits {
     std::vector<std::optional<http_answer>> answers;
     std::vector<milliseconds> durations;
@@ -43,10 +43,10 @@
 
 } // namespace
 
-TEST_CASE("whoever a silent store catches is answered in time for another try") {
-    // The store falls silent in a turn's peak, for three seconds. Each client of its first moments is held
-    // for its whole deadline by the pool's owner: its job's write has no answer, or waits behind one that has
-    // none. When the store is back nobody has time for the try that would be accepted.
+TEST_CASE("clients of an unresponsive store are answered in time for another attempt") {
+    // Guards against clients that the pool's owner holds for their whole deadline while the store is
+    // unresponsive for three seconds of a demand peak: the job's write has no answer, or waits behind such a
+    // write. When the store responds again, no time is left for the attempt that would be accepted.
     node_deployment d;
     d.serve_with_one_vm(100ms);
     d.store.set_silent(true);
@@ -59,7 +59,7 @@
         CHECK(submitted.durations[i] < half_deadline);
         refused.push_back(submitted.answers[i]->code == 503);
     }
-    // One write was on its way; what never left the process is refused, and truly never runs.
+    // One write was in flight; a job that was never sent to the store is refused and never runs.
     CHECK(std::ranges::count(refused, true) >= 4);
     CHECK(std::ranges::count(refused, false) >= 1);
     d.store.set_silent(false);
@@ -77,9 +77,9 @@
     d.check_runs_once();
 }
 
-TEST_CASE("an entry does not wait out a silent store for a job that it leaves in the inbox") {
-    // A pool's owner dies, and its entries leave jobs for the next one in the store, which is silent: each
-    // client is held for the store's time-out.
+TEST_CASE("an entry doesn't wait for an unresponsive store's timeout when it stores a job in the inbox") {
+    // Guards against clients that are held for the store's timeout: a pool's owner dies, and entries store
+    // jobs for its successor in a store that is unresponsive.
     node_deployment d;
     d.serve_with_one_vm(100ms);
     d.start_node("n2");
--- a/tests/node/vm_entries_test.cpp
+++ b/tests/node/vm_entries_test.cpp
@@ -11,7 +11,7 @@
 const std::string job_a = "00000000000000aa";
 const std::string job_b = "00000000000000bb";
 
-/// Above the 400 ms between two looks at the entries.
+/// Above the 400 ms between two watches of the entries.
 constexpr milliseconds watch_delay_bound = 1500ms;
 
 /// Above the VMs' lease of six seconds.
@@ -25,7 +25,7 @@
     return platform::encode_job(spec);
 }
 
-/// Entries that name no VM to use: `good` is the registration of a VM that is there.
+/// Entries that list no usable VM; `good` is the registration of an existing VM.
 std::vector<std::pair<std::string, std::string>> unusable_entries(const std::string& good) {
     const auto changed = [&good](const char* field, const boost::json::value& value) {
         boost::json::object object = boost::json::parse(good).as_object();
@@ -46,10 +46,10 @@
 
 } // namespace
 
-TEST_CASE("entries of another writer beside those of the VMs take no work, and the VMs do it all") {
-    // Nothing runs any more, or tasks are sent to what isn't there. Another program has written entries that
-    // are no whole registrations; one of them broke the reading of all, or was taken for a VM. They all lead
-    // to an address that answers, so that whatever is sent to them is seen.
+TEST_CASE("entries that another program writes beside those of the VMs get no work, and the VMs do it all") {
+    // Guards against work that stops, or tasks that are sent to VMs that don't exist, when another program
+    // writes entries that are not complete registrations: one of them made the whole listing fail, or was
+    // used as a VM. All entries name an address that answers, so that every call to one of them is counted.
     node_deployment d;
     d.add_vm("v1", 50ms);
     int calls = 0;
@@ -77,14 +77,13 @@
     d.check_runs_once();
 }
 
-TEST_CASE("a VM whose entry is overwritten gets no work until it can be read again, and keeps what it has") {
-    // A booking starts on a VM that nobody vouches for, or a running one is made twice. Another program
-    // overwrites a VM's entry while a task runs there and for longer than the VM's lease; then the VM writes
-    // its own again. Its old entry stayed in use; had it counted as gone, its task would have been given
-    // away.
+TEST_CASE("a VM whose entry is overwritten gets no work until it can be read again, and keeps its runs") {
+    // Guards against tasks that start on a VM in an unconfirmed state, or run twice: another program
+    // overwrites a VM's entry for longer than the VM's lease while a task runs there. The old entry must not
+    // stay in use, and the VM must not count as gone, since its task would start elsewhere.
     struct overwrite_case {
         std::string name;
-        std::string pending_job; ///< The job that comes meanwhile.
+        std::string pending_job; ///< The job that is submitted meanwhile.
     };
     node_deployment d;
     d.serve_with_one_vm(100ms);
@@ -113,10 +112,10 @@
     d.check_runs_once();
 }
 
-TEST_CASE("the directory tells of a VM whose entry can't be read as of one that is no longer listed") {
-    // A VM is used on after another program has overwritten its entry. The directory kept what it had read
-    // before. That it is still registered must be known all the same: only what isn't may be taken for gone
-    // by the older list of machines.
+TEST_CASE("the directory reports a VM whose entry can't be read as no longer listed") {
+    // Guards against a VM that stays in use after another program has overwritten its entry. The VM must
+    // still count as registered: only a VM that is not registered may be regarded as gone because of the
+    // older list of machines.
     event_loop loop;
     fakes::platform_store store(loop);
     REQUIRE(store.listen({"127.0.0.1", 0}));
@@ -134,7 +133,7 @@
     REQUIRE(loop_until(loop, [&] { return reported.size() == 1; }));
     for (const auto& item : unusable_entries(good)) {
         if (item.first == "service") {
-            continue; // Whole, but of no pool here: its pool's owner decides.
+            continue; // A complete registration, but of no pool here: the pool's owner decides.
         }
         INFO(item.first);
         reported.clear();
--- a/tests/node/watch_test.cpp
+++ b/tests/node/watch_test.cpp
@@ -8,13 +8,13 @@
 using namespace siskinpaddle;
 using namespace siskinpaddle::tests;
 
-TEST_CASE("a listing that is begun anew is not emptied by the retry of the one before") {
-    // Accepted jobs are missing at their owner for good. A listing of the store failed for over a second;
-    // when the store was back it was begun anew while the retry of the failed one still waited. The retry
-    // emptied what the new listing had read of its first pages, and the rest was taken as whole.
-    constexpr std::size_t items = 1000; // Twenty pages of the stand-in's.
-    constexpr milliseconds iteration_time =
-        10ms; // A page takes some turns: longer than the retry waits, in all.
+TEST_CASE("a listing that is started again is not cleared by the retry of the previous one") {
+    // Guards against accepted jobs that stay unknown to their owner: a listing fails for over a second, and a
+    // new one starts while the retry of the failed one is pending. The retry would clear the first pages of
+    // the new listing, and the rest would count as complete.
+    constexpr std::size_t items = 1000; // Twenty pages of the fake store.
+    // A page takes several iterations of the loop, and all pages together take longer than the retry delay.
+    constexpr milliseconds iteration_time = 10ms;
     event_loop loop;
     fakes::platform_store store(loop);
     REQUIRE(store.listen({"127.0.0.1", 0}));
@@ -31,7 +31,7 @@
     REQUIRE(loop_until(loop, [&] { return event_loop::now() - begun > 1200ms; }));
     const std::size_t before = listings();
     REQUIRE(loop_until(loop, [&] { return listings() > before; }));
-    const timestamp refused = event_loop::now(); // The next retry waits 400 ms from about now.
+    const timestamp refused = event_loop::now(); // The next retry starts 400 ms after about this time.
     REQUIRE(loop_until(loop, [&] { return event_loop::now() - refused > 50ms; }));
     store.set_busy(false);
     watch.refresh();
@@ -45,13 +45,13 @@
     CHECK(watch.items().size() == items);
 }
 
-TEST_CASE("on a narrow link a listing is not begun anew while its answer may still be on its way") {
-    // Nodes refuse new queues for seconds after a configuration of 1,500 queues. Over a link of 2 Mbit/s its
-    // 400 KB take 1.6 s; after a second the reading counted as stuck, another was begun beside it, and so on:
-    // each took the others' bytes.
+TEST_CASE("on a narrow link a listing is not started again while its answer may still be in flight") {
+    // Guards against nodes that refuse new queues for seconds after a configuration of 1,500 queues: over a
+    // link of 2 Mbit/s its 400 KB take 1.6 s. If a listing counted as stuck after a second, another one would
+    // start beside it, and all of them would compete for bandwidth.
     struct link {
         double mbps = 0;
-        std::size_t listings = 0; ///< Begun when asked again after 1.2 s without an answer.
+        std::size_t listings = 0; ///< Started when a refresh follows 1.2 s without an answer.
     };
     for (const link& row : {link{1000, 2}, link{2, 1}}) {
         CAPTURE(row.mbps);
