--- a/node/fleet_maintenance.cpp
+++ b/node/fleet_maintenance.cpp
@@ -85,7 +85,7 @@
     wave& item = m_waves[number];
     item.reading = false;
     if (answer.status == platform::store_status::absent) {
-        item.loaded = true; // Nobody has begun it.
+        item.loaded = true; // No owner has begun the wave.
         const auto wanted = m_context.configuration.waves().find(number);
         if (wanted != m_context.configuration.waves().end()) {
             item.state.due_at = event_loop::now() + wanted->second.duration;
@@ -130,12 +130,13 @@
         state.confirmed.insert(machine);
         record_wave(state);
     } else if (outcome != platform::machine_outcome::unknown) {
-        state.pending.erase(machine); // Not carried out: it is still to do.
+        state.pending.erase(machine); // Not executed: the machine is still due for maintenance.
     }
 }
 
-/// A successor goes on where this owner stopped. If the record is lost it orders again what is done already,
-/// which changes nothing but costs the clearing of a VM.
+/// Stores the confirmed machines, so that a successor continues the wave where this owner stopped. If the
+/// record is lost, the successor repeats orders for completed machines, which has no effect except that their
+/// VMs are emptied again.
 void fleet_task::record_wave(const jobs::wave_state& state) {
     platform::store_transaction change;
     change.conditions.push_back({owner_prefix + m_ownership.duty, m_ownership.token});
@@ -158,7 +159,7 @@
             return;
         }
         if (completed) {
-            m_waves[number].completed = false; // Told again with the next round.
+            m_waves[number].completed = false; // Reported again in the next round.
         } else {
             m_waves[number].running_reported = false;
         }
--- a/node/fleet_moves.cpp
+++ b/node/fleet_moves.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// Orders may come in a burst of what this time allows at the platform's rate: when a turn of demand begins,
-/// a dozen machines are asked for at once.
+/// Moves may come in a burst of as many orders as the platform's rate allows in this time: a demand surge
+/// needs a dozen machines at once.
 constexpr double order_burst_s = 0.5;
-/// A demand that is older than this is no longer acted on: a turn rises to several times a pool's room within
+/// Demands older than this are ignored: in a surge the demand rises to several times a pool's capacity within
 /// a second.
 constexpr milliseconds max_demand_age = 1s;
 
@@ -59,9 +59,10 @@
     m_orders_refilled_at = now;
 }
 
-/// What the pools ask for. Where an owner has not answered in this round, its last answer counts: the pool in
-/// the peak of its turn has the busiest owner, and with answers after 250 ms it got no machine for as long as
-/// the peak lasted. A machine still leaves a pool only if its owner has said in this round that it is empty.
+/// Returns the demands answered in this round and, for owners that have not answered yet, their last answers.
+/// The pool at its demand peak has the busiest owner; without its last answer, a pool whose owner answered
+/// after 250 ms got no machine for the whole peak. A machine still leaves a pool only if the pool's owner has
+/// reported in this round that the VM is empty.
 std::map<std::string, jobs::pool_demand> fleet_task::recent_demands() const {
     std::map<std::string, jobs::pool_demand> known = m_demands;
     for (const auto& [pool, latest] : m_latest_demands) {
--- a/node/fleet_orders.cpp
+++ b/node/fleet_orders.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// One lease serves the announcements of this long; a lease for each round would double the calls.
+/// How long one lease is used for new announcements; a lease per round would double the calls to the store.
 constexpr milliseconds announcement_lease_reuse = 1s;
-/// From the announcement to the order's arrival.
+/// Longest expected time from the announcement to the order's arrival at the platform.
 constexpr milliseconds announcement_margin = 500ms;
 
 } // namespace
@@ -31,8 +31,8 @@
     });
 }
 
-/// The announcement lives under a lease of its own, so that it ends by itself when the quiet time has passed,
-/// also when its holder is gone.
+/// Writes the announcement under a separate lease, so that it expires after the quiet time even if this node
+/// has died.
 void fleet_task::announce_orders(const std::vector<std::string>& machines, std::function<void(bool)> done) {
     if (event_loop::now() - m_announcement_granted_at < announcement_lease_reuse) {
         write_announcement(machines, done);
--- a/node/fleet_task.cpp
+++ b/node/fleet_task.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-/// Between two rounds. Demand rises to several times a pool's room within a second and lasts several; each
-/// round costs one call of the platform and one of each owner.
+/// Interval between rounds. Demand rises to several times a pool's capacity within a second and stays there
+/// for several seconds; each round costs one call to the platform and one to each pool's owner.
 constexpr milliseconds round_interval = 160ms;
-/// A round goes on without the owners that have not answered by then.
+/// A round continues without the pool owners that have not answered within this time.
 constexpr milliseconds answers_timeout = 150ms;
 /// Longest time that a round waits for the list of machines. A list takes some milliseconds, fifty times as
 /// long when the platform is slow, and several calls in a large fleet.
 constexpr milliseconds list_timeout = 1s;
-/// A VM that was asked for is ordered away in a round of its own, right after its owner could take it out of
-/// its record: one write to the store, 6 ms.
+/// Delay before the extra round that orders away VMs which their owners were just asked to empty. It lets the
+/// owner remove the VM from its record first: one write to the store, 6 ms.
 constexpr milliseconds immediate_round_delay = 15ms;
-/// An order that has shown no effect for this long beyond the move's own time is forgotten; the list tells
-/// where the machine is.
+/// An order without a visible effect is dropped this long after the duration of a move; the list of machines
+/// then shows where the machine is.
 constexpr milliseconds move_margin = 2500ms;
 
 } // namespace
@@ -37,7 +37,7 @@
 }
 
 bool fleet_task::may_order() const {
-    // Machines check no fencing tokens, so only a claim that certainly stands will do.
+    // Machines check no fencing tokens, so orders require a confirmed ownership.
     const timestamp now = event_loop::now();
     return !m_stopped && m_recently_ordered_known &&
            now < m_context.membership.confirmed_until(m_ownership.duty);
@@ -52,7 +52,7 @@
     return {};
 }
 
-// --- A round ---
+// --- Rounds ---
 
 void fleet_task::run_round() {
     if (m_stopped) {
@@ -115,7 +115,7 @@
     }
     m_latest_demands[pool] = {answer.demand, event_loop::now()};
     if (round != m_round) {
-        return; // Which VMs are empty holds for what this round asked for only.
+        return; // The reported empty VMs are valid only for the request of the same round.
     }
     m_demands[pool] = answer.demand;
     for (const jobs::vm_load& vm : answer.demand.vms) {
@@ -129,9 +129,10 @@
     }
 }
 
-/// The next round waits for the list. Guards against rounds that overtake themselves: with one pool's owner
-/// dead a round waits for its answer for almost the whole interval, the list came after the next round had
-/// begun and was dropped, and no pool got a machine until that owner was replaced, 2.2 s later.
+/// Lists the machines; the next round waits for the list. Without that wait rounds overtake each other: while
+/// the owner of one pool is dead, a round waits for its answer for almost the whole interval, the list
+/// arrives after the next round has begun and is dropped, and no pool gets a machine until that owner is
+/// replaced, 2.2 s later.
 void fleet_task::list_machines() {
     m_timer->start(list_timeout);
     m_context.machines.list(
@@ -177,7 +178,7 @@
     m_has_new_clear_request = false;
     for (const auto& [machine, move] : m_moves) {
         if (const auto found = m_machines.find(machine); found != m_machines.end()) {
-            // The order may not have been carried out yet.
+            // The order may not have been executed yet.
             m_vms_to_clear.add(found->second.pool, move.previous_vm);
         }
     }
--- a/node/fleet_task.hpp
+++ b/node/fleet_task.hpp
@@ -12,16 +12,17 @@
 
 namespace siskinpaddle::node {
 
-/// Owns the orders about machines: walks the operator's waves of upkeep, and lets machines follow the demand
-/// from pool to pool. One holder at a time, since one machine must never hear two holders in turn. Lives from
-/// gaining the duty until losing it. Not thread-safe.
+/// Plans and sends orders about machines as the fleet's owner: carries out the operator's maintenance waves,
+/// and moves machines between pools as demand changes. Only one node holds this duty, since a machine must
+/// not receive orders from two owners alternately. Lives from gaining the duty until losing it. Not
+/// thread-safe.
 ///
-/// A round asks every pool's owner for its demand and tells it which VMs to keep empty, lists the machines,
-/// and plans. A VM is only ordered away when its owner has answered that it keeps it empty and nothing runs
-/// there.
+/// A round queries every pool's owner for its demand and sends it the VMs to keep empty, lists the machines,
+/// and plans. A VM is ordered away only after its pool's owner has answered that it keeps the VM empty and
+/// that nothing runs there.
 class fleet_task {
   public:
-    /// What the task works with; all outlive it.
+    /// Dependencies; all outlive the task.
     struct context {
         event_loop& loop;
         const node_settings& settings;
@@ -29,7 +30,7 @@
         platform::machine_client& machines;
         membership_task& membership;
         configuration_task& configuration;
-        /// Asks a pool's owner, here or elsewhere.
+        /// Sends a request to a pool's owner, which may be this node.
         std::function<void(const peer_request&, peer_server::reply)> ask_pool;
     };
 
@@ -47,7 +48,7 @@
         bool running_reported = false;
         bool completed = false;
     };
-    /// A machine that was ordered into another pool and is not known to work there.
+    /// A machine that was ordered into another pool and has not been seen up there yet.
     struct pending_move {
         std::string pool;
         std::string previous_vm;
@@ -98,15 +99,15 @@
     std::uint64_t m_round = 0;
     timestamp m_round_began_at{0};
     std::set<std::string> m_unanswered; ///< Pools whose owners have not answered in this round.
-    std::map<std::string, jobs::pool_demand> m_demands; ///< As answered in this round.
+    std::map<std::string, jobs::pool_demand> m_demands; ///< Answers of this round.
     struct latest_demand {
         jobs::pool_demand demand;
         timestamp received_at{0};
     };
-    std::map<std::string, latest_demand> m_latest_demands; ///< As last answered, in whatever round.
-    std::set<std::string> m_empty_vms;                     ///< Kept empty by their owners as of this round.
+    std::map<std::string, latest_demand> m_latest_demands; ///< Last answers, from any round.
+    std::set<std::string> m_empty_vms;                     ///< Reported empty by their owners in this round.
     std::map<std::string, platform::machine_info> m_machines;
-    bool m_has_new_clear_request = false; ///< A VM was newly asked for: the next round can order it away.
+    bool m_has_new_clear_request = false; ///< A clear request is new: the next round can order its VM away.
 
     /// An order that is planned and not yet announced.
     struct planned_order {
@@ -115,14 +116,14 @@
         std::function<void()> cancel;
     };
     std::vector<planned_order> m_planned;
-    double m_order_budget = 0; ///< At the platform's rate.
+    double m_order_budget = 0; ///< Orders that the platform's rate allows now.
     timestamp m_orders_refilled_at{0};
     std::int64_t m_announcement_lease = 0;
     timestamp m_announcement_granted_at{0};
     std::uint64_t m_announcement_count = 0;
     std::set<std::string>
-        m_recently_ordered; ///< Machines that another holder may have ordered within the quiet time.
-    bool m_recently_ordered_known = false; ///< The other holder's announcements were read.
+        m_recently_ordered; ///< Machines that another owner may have ordered within the quiet time.
+    bool m_recently_ordered_known = false; ///< The other owner's announcements were read.
 
     std::map<std::int64_t, wave> m_waves;
     std::set<std::string>
@@ -130,7 +131,7 @@
     jobs::evacuation_list m_vms_to_clear; ///< VMs that their owners are to keep empty.
     std::map<std::string, pending_move> m_moves; ///< By machine.
     jobs::balance_state m_balance_memory;
-    std::size_t m_surplus_machines = 0; ///< As of the last plan.
+    std::size_t m_surplus_machines = 0; ///< Machines that no pool wants, as of the last plan.
     bool m_stopped = false;
     lifetime m_lifetime;
 };
--- a/node/keys.hpp
+++ b/node/keys.hpp
@@ -5,18 +5,20 @@
 
 namespace siskinpaddle::node {
 
-/// Our keys in the platform's store.
+/// Keys that nodes use in the platform's store.
 ///
-/// | key | value | written by | lives |
-/// | --- | --- | --- | --- |
-/// | `sp/ctl/node/NODE` | address of a node | that node | with its lease |
-/// | `sp/ctl/own/DUTY` | owner and epoch; its revision is the fencing token | who claims the duty | for good
-/// | | `sp/ctl/live/DUTY` | name of the owner | the owner | with its lease | | `sp/job/POOL/JOB` | an
-/// accepted job | the pool's owner | until the job ends | | `sp/progress/POOL/JOB` | tasks done, final phase
-/// | the pool's owner | a while past the end | | `sp/inbox/POOL/submit/JOB`, `.../cancel/JOB` | a request
-/// that did not reach the owner | any node | until the owner takes it | | `sp/wave/NUMBER` | machines whose
-/// upkeep is confirmed | the fleet's owner | for good | | `sp/vms/POOL` | VMs that may hold runs | the pool's
-/// owner | for good |
+/// - `sp/ctl/node/NODE`: address of a node; written by that node, expires with its lease.
+/// - `sp/ctl/own/DUTY`: owner and epoch, its revision is the fencing token; written by the node that claims
+/// the duty, kept permanently.
+/// - `sp/ctl/live/DUTY`: name of the owner; written by the owner, expires with its lease.
+/// - `sp/job/POOL/JOB`: an accepted job; written by the pool's owner, kept until the job ends.
+/// - `sp/progress/POOL/JOB`: tasks done and final phase; written by the pool's owner, kept for a while after
+/// the job's end.
+/// - `sp/inbox/POOL/submit/JOB` and `sp/inbox/POOL/cancel/JOB`: a request that did not reach the owner;
+/// written by any node, kept until the owner processes it.
+/// - `sp/wave/NUMBER`: machines whose maintenance is confirmed; written by the fleet's owner, kept
+/// permanently.
+/// - `sp/vms/POOL`: VMs that may hold runs; written by the pool's owner, kept permanently.
 
 inline const std::string control_prefix = "sp/ctl/";
 inline const std::string node_prefix = "sp/ctl/node/";
@@ -46,13 +48,13 @@
     return "sp/wave/" + std::to_string(number);
 }
 
-/// Announcements of orders about machines.
+/// Announcements of orders about machines; read by the next owner of the fleet.
 inline const std::string announcement_prefix = "sp/orders/";
 
-/// Duties that have one owner at a time.
+/// Duty of owning the pool; one node holds it at a time.
 [[nodiscard]] inline std::string pool_duty(const std::string& pool) {
     return "pool/" + pool;
 }
-inline const std::string fleet_duty = "fleet"; ///< Orders about machines: upkeep and moves.
+inline const std::string fleet_duty = "fleet"; ///< Orders about machines: maintenance and moves.
 
 } // namespace siskinpaddle::node
--- a/node/pool_inbox.cpp
+++ b/node/pool_inbox.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-/// Entries of a transaction that taking one job needs: a condition, a write and a removal.
+/// Transaction entries for the transfer of one job: a condition, a write and a removal.
 constexpr std::size_t entries_per_job = 3;
-/// Jobs that one transaction takes, beside its condition on the owner.
+/// Most jobs that one transaction transfers, besides its condition on the owner.
 constexpr std::size_t max_jobs_per_write = (platform::max_transaction_entries - 1) / entries_per_job;
-/// Transactions on their way, so that one without an answer does not hold the others up for its timeout, and
-/// a full inbox does not use up the store's rate at once.
+/// Most transactions in flight. Several, so that one without an answer does not delay the others for its
+/// timeout; limited, so that a full inbox does not use up the store's rate at once.
 constexpr std::size_t max_writes_in_flight = 4;
 constexpr milliseconds write_retry = 300ms;
 
@@ -24,7 +24,7 @@
         return;
     }
     if (m_ownership_lost) {
-        m_unresolved_inbox_cancels.push_back(item); // For when a new claim of our own has succeeded.
+        m_unresolved_inbox_cancels.push_back(item); // Retried after a new claim by this node has succeeded.
         return;
     }
     peer_request request;
@@ -33,12 +33,13 @@
         if (outcome_of(answer) == peer_outcome::ok) {
             remove_from_inbox(item.key);
         } else {
-            m_unresolved_inbox_cancels.push_back(item); // Its submit may still be on the way here.
+            m_unresolved_inbox_cancels.push_back(item); // The job's submit may still be in flight.
         }
     });
 }
 
-/// From here on the owner answers for the job, also before it has taken it.
+/// Registers a job from the inbox. From then on the owner answers requests about the job, also before it has
+/// stored the job's record.
 void pool_task::process_inbox_submit(const platform::store_item& item) {
     if (item.deleted) {
         return;
@@ -50,15 +51,16 @@
         remove_from_inbox(item.key);
         return;
     }
-    // Its client was told that it is accepted, so it is taken whatever the load.
+    // The acceptance was already reported to the client, so the job is taken regardless of the load.
     log_event(event_id::submit_accepted, {{"pool", m_pool}, {"job", job}, {"by", "inbox"}});
-    // One that is being taken stays as it is: its transaction holds against the revision that it was read at.
+    // An item whose transfer is in flight stays unchanged: its transaction is conditional on the revision
+    // that was read.
     m_inbox_jobs.try_emplace(job, inbox_job{record.value(), item.key, item.revision, false});
-    m_inbox_timer->start(0ms); // Those that are read together are taken together.
+    m_inbox_timer->start(0ms); // Jobs that are read together are transferred together.
 }
 
-/// Takes jobs out of the inbox, several in a transaction: each one by itself, a full inbox costs a busy owner
-/// and the store's rate more than the jobs do, and it lasts for seconds.
+/// Moves jobs from the inbox to job records, several per transaction. With one transaction per job, a full
+/// inbox costs a busy owner and the store's rate more than the jobs themselves, and takes seconds to empty.
 void pool_task::transfer_inbox_jobs() {
     while (!m_ownership_lost && m_inbox_writes_in_flight < max_writes_in_flight) {
         const std::vector<std::string> batch = select_inbox_jobs();
@@ -70,7 +72,7 @@
         for (const std::string& job : batch) {
             inbox_job& item = m_inbox_jobs.at(job);
             item.writing = true;
-            // A write that is carried out late must not bring back a job that has ended since.
+            // A write that is executed late must not restore a job that has ended since.
             change.conditions.push_back({item.key, item.revision});
             change.writes.push_back({job_prefix(m_pool) + job, encode_archive(item.record), 0});
             change.removals.push_back(item.key);
@@ -86,8 +88,9 @@
     }
 }
 
-/// The next jobs to take. Those that came here another way as well are only taken out of the inbox; one whose
-/// record is being written for such a submit waits for that, or its job could end before it is written again.
+/// Selects the next jobs to transfer. Jobs that also arrived through a submit are only removed from the
+/// inbox. A job whose record is being written for such a submit waits for that write; otherwise it could end
+/// before the transfer writes its record again.
 std::vector<std::string> pool_task::select_inbox_jobs() {
     std::vector<std::string> batch;
     for (auto position = m_inbox_jobs.begin();
@@ -121,14 +124,14 @@
             continue;
         }
         inbox_job& item = found->second;
-        // Only the owner takes requests away: an earlier write of ours was carried out after all.
+        // Only the owner removes requests, so an earlier write of this node was executed.
         const bool carried_out = is_still_owner && revision_of(answer, item.key) != item.revision;
         if (answer.status == platform::store_status::ok || carried_out) {
             add_job(item.record, accepted_at(item.record.accepted_ms));
             m_inbox_jobs.erase(found);
         } else {
-            // Also after a conflict: it may have been sent under a token that a new claim of our own has
-            // replaced, and nobody else would take the request before the next owner.
+            // Also after a conflict: the write may have been sent under a token that a new claim by this node
+            // has replaced, and no other node would transfer the job before the next owner.
             item.writing = false;
             all_transferred = false;
         }
@@ -143,7 +146,8 @@
         m_scheduler.add_job(record, accepted);
     }
     if (m_inbox_cancels.items().contains(cancel_key(m_pool, job))) {
-        // Read before its submit was stored, the cancelling found no job. Nothing of the job may start first.
+        // The cancellation was read before the job's submit was stored and found no job. It has to take
+        // effect before any task of the job starts.
         m_scheduler.cancel(job, event_loop::now());
     }
 }
--- a/node/pool_renewals.cpp
+++ b/node/pool_renewals.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-/// A renewal waits this long for an end. The platform allows two seconds; below that by a margin, so that a
-/// lease of six seconds always has four left when its owner dies.
+/// Longest time that a renewal waits for a run to end. The platform allows two seconds; the margin below that
+/// ensures that a lease of six seconds always has four left when its owner dies.
 constexpr milliseconds renewal_wait = 1500ms;
-/// Where runs may disturb each other, are not at work yet, or several soon end.
+/// For VMs that are polled frequently: their runs may disturb each other, have not begun executing, or
+/// several end soon.
 constexpr milliseconds frequent_renewal_wait = 400ms;
 constexpr milliseconds renewal_retry = 150ms;
 constexpr milliseconds max_renewal_retry = 600ms;
-/// While the owner may not act.
+/// While the owner must not act.
 constexpr milliseconds paused_retry = 250ms;
 
 } // namespace
@@ -31,7 +32,7 @@
     if (known == m_scheduler.vms().end()) {
         m_context.loop.post([this, vm, alive = m_lifetime.weak_token()] {
             if (!alive.expired() && !m_scheduler.vms().contains(vm)) {
-                m_renewals.erase(vm); // Not from inside its own timer.
+                m_renewals.erase(vm); // Deferred, since a timer must not be destroyed in its own callback.
             }
         });
         return;
@@ -50,7 +51,7 @@
         return;
     }
     if (!state.listed && state.has_no_runs() && state.has_responded()) {
-        schedule_renewal(vm, max_renewal_retry); // Nothing runs there: let its lease run out.
+        schedule_renewal(vm, max_renewal_retry); // Nothing runs there: its lease may expire.
         return;
     }
     renewal.renewing = true;
@@ -84,7 +85,7 @@
         renewal->second.failures = 0;
         m_scheduler.handle_report(vm, *answer.report, now);
         if (!m_cleared_vms.contains(vm) && !m_vm_record.may_contain(vm)) {
-            m_vm_record_timer->start(0ms); // It had been silent and left the record.
+            m_vm_record_timer->start(0ms); // The VM had been unresponsive and was removed from the record.
         }
         schedule_decision();
         renew_lease(vm);
--- a/node/pool_requests.cpp
+++ b/node/pool_requests.cpp
@@ -93,7 +93,7 @@
     }
 }
 
-/// Answers the cancellings whose jobs' final phase is stored.
+/// Answers the cancellations of jobs whose final phase is stored.
 void pool_task::answer_stored_cancels() {
     std::erase_if(m_cancels, [this](const waiting_cancel& item) {
         const jobs::job_state* job = m_scheduler.find_job(item.job);
@@ -105,7 +105,8 @@
     });
 }
 
-/// VMs that no longer need to be empty take work again, those that have left the record once it names them.
+/// Lets VMs that no longer need to be empty take work again; those that have left the record do so once the
+/// record names them.
 void pool_task::uncordon_vms(const std::set<std::string>& vms) {
     for (const std::string& vm : vms) {
         if (m_cleared_vms.contains(vm)) {
--- a/node/pool_storing.cpp
+++ b/node/pool_storing.cpp
@@ -8,23 +8,24 @@
 
 namespace {
 
-/// Changes that nobody waits for are collected this long, so that many ends go into one write.
+/// Delay that coalesces changes which no client waits for, so that many ends go into one write.
 constexpr milliseconds store_coalesce_delay = 25ms;
-/// A job that ended has a client asking for it: nearly at once, but several at a time.
+/// Delay for ended jobs, whose clients poll for the result: short, but long enough to coalesce several ends.
 constexpr milliseconds urgent_coalesce_delay = 2ms;
 constexpr milliseconds store_retry = 120ms;
-/// Entries of a transaction that a job's progress takes: its write, and the condition on what it replaces.
+/// Transaction entries for a job's progress: its write, and the condition on the progress that it replaces.
 constexpr std::size_t progress_entries = 2;
-/// An ended job's record is removed as well.
+/// The record of an ended job is removed as well.
 constexpr std::size_t ended_entries = progress_entries + 1;
-/// An ended job stays with the scheduler this long, for late reports on its runs.
+/// How long an ended job stays in the scheduler, for late reports on its runs.
 constexpr milliseconds scheduler_retention = 3s;
-/// Requests in the inbox that could not be taken are tried again after this; a cancelling must work within
-/// three seconds.
+/// Delay before cancellations in the inbox that found no job are retried; a cancellation must take effect
+/// within three seconds.
 constexpr milliseconds inbox_retry = 300ms;
-/// Between two looks for ended jobs to forget.
+/// Interval between removals of ended jobs.
 constexpr milliseconds cleanup_interval = 2s;
-/// VMs that are kept empty for an upkeep go back to work if whoever asked for it is silent for this long.
+/// VMs that are kept empty at the request of the fleet's owner take work again if it sends no demand query
+/// for this long.
 constexpr milliseconds cleared_timeout = 6s;
 
 } // namespace
@@ -57,7 +58,7 @@
     }
 }
 
-/// Writes what goes into one transaction; returns how many of the jobs it dealt with.
+/// Writes as many of the jobs as fit into one transaction; returns how many of the jobs it processed.
 std::size_t pool_task::write_chunk(std::span<const std::string> jobs) {
     platform::store_transaction change;
     change.conditions.push_back(owner_condition());
@@ -94,8 +95,8 @@
                              const jobs::job_state& job) const {
     const std::string key = progress_prefix(m_pool) + id;
     const auto known = m_progress_revisions.find(id);
-    // A write without an answer that is carried out late would undo a newer one, and the next owner would run
-    // a completed job again; it holds only against the progress that it was to replace.
+    // An unanswered write that is executed late would undo a newer one, and the next owner would run a
+    // completed job again. The write is therefore conditional on the progress that it replaces.
     change.conditions.push_back({key, known == m_progress_revisions.end() ? 0 : known->second});
     change.writes.push_back({key, encode_archive(job.progress()), 0});
     if (jobs::is_final(job.phase())) {
@@ -129,8 +130,8 @@
     }
 }
 
-/// Either the claim is over, or an earlier write of ours was carried out after all: the next round replaces
-/// what that one wrote.
+/// Handles a conflict: either the ownership is lost, or an earlier write of this node was executed after all.
+/// In the latter case the next round replaces what that write stored.
 void pool_task::on_chunk_refused(const std::vector<std::pair<std::string, std::uint64_t>>& written,
                                  const platform::store_answer& answer, std::int64_t token) {
     if (revision_of(answer, owner_prefix + m_ownership.duty) != token) {
--- a/node/pool_submits.cpp
+++ b/node/pool_submits.cpp
@@ -9,21 +9,21 @@
 
 namespace {
 
-/// Entries of a transaction that accepting one job needs: a condition and a write.
+/// Transaction entries for the acceptance of one job: a condition and a write.
 constexpr std::size_t entries_per_job = 2;
-/// Most jobs accepted by one transaction, beside its condition on the owner.
+/// Most jobs accepted by one transaction, besides its condition on the owner.
 constexpr std::size_t max_submits_per_write = (platform::max_transaction_entries - 1) / entries_per_job;
 constexpr milliseconds submit_retry = 120ms;
-/// Short: whoever comes back right after an outage can still be served within an objective of two seconds,
-/// and how long it lasts is not known.
+/// Short, since the length of an outage is unknown: a client that retries right after the outage can still be
+/// served within an objective of two seconds.
 constexpr milliseconds retry_after_outage = 1s;
 
 } // namespace
 
 void pool_task::submit(const peer_request& request, const reply& done) {
     const std::string& id = request.spec.id;
-    // Also what still lies in the inbox: judged as new, a repeat of an accepted job could be refused for
-    // load.
+    // Includes jobs that are still in the inbox: judged as new, a repeat of an accepted job could be refused
+    // for load.
     if (m_scheduler.has_job(id) || m_ended.contains(id) || m_inbox_jobs.contains(id)) {
         done(make_answer(peer_outcome::ok));
         return;
@@ -78,8 +78,9 @@
         m_submits.begin() + static_cast<std::ptrdiff_t>(std::min(max_submits_per_write, m_submits.size()));
     for (auto waiting = m_submits.begin(); waiting != batch_end; ++waiting) {
         waiting_submit& item = *waiting;
-        // A write that is carried out late must not bring back the record of a job that has ended: its
-        // progress outlives it. While the job lasts, writing its record again changes nothing.
+        // A write that is executed late must not restore the record of a job that has ended; the progress of
+        // an ended job is kept longer than its record. Until the job ends, writing its record again changes
+        // nothing.
         change.conditions.push_back({progress_prefix(m_pool) + item.record.spec.id, 0});
         change.writes.push_back({job_prefix(m_pool) + item.record.spec.id, encode_archive(item.record), 0});
         batch.push_back(std::move(item));
@@ -159,13 +160,13 @@
     } else if (m_ownership_lost) {
         keep_unconfirmed_submits(std::move(batch), unanswered);
     } else if (conflict) {
-        // An earlier write was carried out, or the token is one that a new claim of our own has replaced.
+        // An earlier write was executed, or the token is one that a new claim by this node has replaced.
         std::erase_if(batch,
                       [&](const waiting_submit& item) { return finish_if_progress_found(item, answer); });
         retry_submits(std::move(batch));
     } else if (unanswered || has_unconfirmed(batch)) {
-        // The write may yet be carried out, so no refusal would be true: repeat it until the outcome is
-        // known.
+        // The write may still be executed, so a refusal could be wrong: the write is repeated until its
+        // outcome is known.
         for (const waiting_submit& item : batch) {
             m_unconfirmed_submits.emplace(item.record.spec.id, item.record.spec.queue);
         }
@@ -175,7 +176,7 @@
             finish_submit(item.record.spec.id, item.done, peer_outcome::unavailable);
         }
     }
-    // Jobs that lie in the inbox as well were passed over there until now.
+    // Jobs that are in the inbox as well were skipped there until now.
     m_inbox_timer->start(0ms);
     write_submits();
 }
@@ -192,7 +193,7 @@
     if (found == answer.items.end()) {
         return false;
     }
-    // Progress of a job that is not with the scheduler outlives one that has ended, as at a takeover.
+    // Progress of a job that is not in the scheduler belongs to a job that has ended, as at a takeover.
     const auto progress = decode_archive<jobs::job_progress>(found->value);
     if (progress && !m_scheduler.has_job(id) && m_ended.try_emplace(id, progress.value().phase).second) {
         m_ended_at[id] = event_loop::now();
@@ -208,8 +209,9 @@
     m_writing_submits = true;
 }
 
-/// The claim is over: what was certainly not stored is refused. A job that may be stored would be lost if the
-/// next claim is our own, which reads nothing: it is kept, and written again under that one.
+/// Handles the loss of the ownership: jobs that are confirmed as not stored are refused. A job that may be
+/// stored would be lost if this node makes the next claim, which reads nothing from the store: such a job is
+/// kept, and written again under the new claim.
 void pool_task::keep_unconfirmed_submits(std::vector<waiting_submit> batch, bool unanswered) {
     for (waiting_submit& item : batch) {
         const std::string& id = item.record.spec.id;
--- a/node/pool_takeover.cpp
+++ b/node/pool_takeover.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Pause before a failed read of the store is repeated; each call counts against its rates.
+/// Delay before a failed read of the store is retried; each call counts against the store's rate limits.
 constexpr milliseconds load_retry = 150ms;
 
 } // namespace
@@ -103,7 +103,8 @@
                 log_event(event_id::run_noted, {{"what", "record-damaged"}, {"key", vms_key(m_pool)}});
             }
         }
-        // Cancellings that did not reach an owner lie in the inbox: none of their tasks may be started first.
+        // Cancellations that did not reach an owner are in the inbox and have to take effect before any task
+        // of their jobs starts.
         m_inbox_cancels.start([this] { m_inbox.start([this] { finish_loading(); }); });
     });
 }
@@ -113,7 +114,7 @@
     for (const auto& [id, progress] : m_loaded_progress) {
         m_ended[id] = progress.phase;
         m_ended_at[id] = now;
-        m_progress_revisions.erase(id); // Never written again.
+        m_progress_revisions.erase(id); // The progress of an ended job is not written again.
     }
     m_loaded_progress.clear();
     m_ready = true;
--- a/node/pool_task.cpp
+++ b/node/pool_task.cpp
@@ -8,22 +8,23 @@
 
 namespace {
 
-/// How often decisions are looked at without an event: leases that ran out, stops to repeat.
+/// Interval between decisions when no event triggers one: for expired leases and for stops to repeat.
 constexpr milliseconds decide_interval = 200ms;
 constexpr milliseconds load_interval = 1s;
-/// Most runs that a log line names.
+/// Most runs that a log line lists.
 constexpr std::size_t max_runs_per_line = 12;
-/// A watch is begun anew this often; a connection that went silent is found within this time.
+/// Interval at which a watch is restarted; a connection that went silent is detected within this time.
 constexpr milliseconds inbox_watch_interval = 1200ms;
 
-/// Long enough that runs outlive the change of their owner (a lease of two seconds, and what a renewal
-/// waits for); no longer, since the runs of a VM that went dark start elsewhere only when its lease has run
-/// out, and a successor waits for silent VMs that long and four seconds more: 10.7 s, below the 12 s within
-/// which a restarted system has to serve again. With leases of ten seconds it would be 14.8 s.
+/// Upper limit of a VM's lease. Long enough that runs outlive a change of their owner (a lease of two
+/// seconds, plus the time that a renewal waits). Not longer, since the runs of an unresponsive VM start
+/// elsewhere only when its lease has expired, and a successor waits for unresponsive VMs that long plus four
+/// seconds: 10.7 s, below the 12 s within which a restarted system has to serve again. With leases of ten
+/// seconds it would be 14.8 s.
 constexpr milliseconds max_lease = 6s;
 
-/// What the starts that are on their way may take up of the link: answers, lease renewals and writes to the
-/// store share it, and have timeouts of 0.7 s and more.
+/// Transfer time on the link that the starts in flight may use: answers, lease renewals and writes to the
+/// store share the link, and have timeouts of 0.7 s and more.
 constexpr milliseconds max_start_link_time = 125ms;
 
 std::size_t bytes_in(milliseconds time, double mbps) {
@@ -34,8 +35,8 @@
 jobs::scheduler_settings scheduler_settings_for(const node_settings& settings) {
     jobs::scheduler_settings result;
     result.lease = std::min(settings.vm_lease, max_lease);
-    // An earlier owner acts for a while past its lease and grants whole leases until then; VM clocks are
-    // slow.
+    // The previous owner acts for a while past its lease and grants full leases until then; the clocks of VMs
+    // may run slow.
     result.takeover_timeout = membership_task::grace_after_lease +
                               std::chrono::duration_cast<milliseconds>(result.lease * 1.03) + 500ms;
     result.max_stop_time = settings.stop_time;
@@ -95,7 +96,7 @@
     schedule_decision();
 }
 
-// --- Deciding ---
+// --- Decisions ---
 
 bool pool_task::may_act() const {
     return m_ready && !m_ownership_lost &&
@@ -168,7 +169,8 @@
                                     {"inbox_age_ms", inbox_age().count()}});
 }
 
-/// One line for each step that got tasks placed, one for each note and one for each VM that ended in use.
+/// Logs one line for each step of which tasks were placed, for each note, for each VM that ended in use, and
+/// for each change of a suspicion level.
 void pool_task::log_decisions(const jobs::decisions& wanted) const {
     for (std::size_t i = 0; i < wanted.starts.size();) {
         const jobs::task_id& first = wanted.starts[i].task;
@@ -333,7 +335,8 @@
 }
 
 void pool_task::on_ownership_lost(const char* found_by, std::int64_t token) {
-    // What was sent under an earlier token of ours fails as well; that says nothing about the present one.
+    // A request that was sent under an earlier token of this node fails as well; that does not affect the
+    // current token.
     if (!m_ownership_lost && token == m_ownership.token) {
         m_ownership_lost = true;
         log_event(event_id::duty_lost,
--- a/node/pool_task.hpp
+++ b/node/pool_task.hpp
@@ -14,13 +14,13 @@
 
 namespace siskinpaddle::node {
 
-/// Owns one pool: carries out what its scheduler decides, stores what must last before it is told, and
-/// answers for the pool's jobs. Lives from gaining the duty until losing it. Not thread-safe.
+/// Owns one pool: carries out its scheduler's decisions, stores what must be durable before it is reported,
+/// and answers requests about the pool's jobs. Lives from gaining the duty until losing it. Not thread-safe.
 class pool_task {
   public:
     using reply = std::function<void(const peer_answer&)>;
 
-    /// What the task works with; all outlive it.
+    /// Dependencies; all outlive the task.
     struct context {
         event_loop& loop;
         const node_settings& settings;
@@ -34,36 +34,36 @@
 
     pool_task(context parts, std::string pool, const ownership& held);
 
-    /// Reads what is stored and takes over the pool's VMs.
+    /// Reads the stored state and takes over the pool's VMs.
     void start();
-    /// The same owner holds the duty under a new token.
+    /// Continues under a new fencing token after the same node has claimed the duty again.
     void renew_token(const ownership& held);
     void configure(const jobs::fleet_configuration& configuration);
-    /// Answers a request about the pool, at once or once what it needs is stored.
+    /// Answers a request about the pool, immediately or once the state that the answer depends on is stored.
     void handle(const peer_request& request, const reply& done);
-    /// Reads anew what the task watches; for after an outage of the store.
+    /// Reads the watched keys again; for use after an outage of the store.
     void refresh();
-    /// Answers submits that wait for a store that has fallen silent: whoever's job was never sent is refused,
-    /// the others are told that the outcome is unknown; their write is repeated until it is known. Called
-    /// several times a second. Guards against clients that are held until their deadline and have no time
-    /// left for the try that would be accepted.
+    /// Answers submits that wait while the store is unresponsive: jobs that were never sent to the store are
+    /// refused; for the others the outcome is reported as unknown, and their write is repeated until it is
+    /// known. Called several times a second. Guards against clients that are kept waiting until their
+    /// deadline and have no time left for the retry that would be accepted.
     void answer_stalled_submits();
-    /// Orders nothing more; what is changed is still stored. `done` is called once all is stored.
+    /// Sends no more orders; changes are still stored. Calls `done` once all changes are stored.
     void shut_down(std::function<void()> done);
 
     [[nodiscard]] const std::string& pool() const noexcept { return m_pool; }
     [[nodiscard]] std::uint32_t epoch() const noexcept { return m_ownership.epoch; }
     [[nodiscard]] const jobs::scheduler& scheduler() const noexcept { return m_scheduler; }
-    /// Jobs in the pool's inbox that are not taken yet.
+    /// Jobs in the pool's inbox that are not transferred yet.
     [[nodiscard]] std::size_t inbox_jobs() const noexcept { return m_inbox_jobs.size(); }
-    /// How old the copy of the inbox may be.
+    /// Upper limit of the age of the inbox copy.
     [[nodiscard]] milliseconds inbox_age() const;
 
   private:
-    /// One VM's lease renewals.
+    /// State of one VM's lease renewals.
     struct vm_renewal {
         bool renewing = false;
-        bool waits_for_store = false; ///< Ends are to be stored, so that the next renewal acknowledges them.
+        bool waits_for_store = false; ///< Ends must be stored before the next renewal acknowledges them.
         int failures = 0;
         std::unique_ptr<timer> delay_timer;
     };
@@ -71,19 +71,19 @@
         jobs::job_record record;
         reply done;
     };
-    /// A job that an entry accepted and left in the inbox.
+    /// A job that an entry accepted and stored in the inbox.
     struct inbox_job {
         jobs::job_record record;
-        std::string key; ///< Where it lies ...
+        std::string key; ///< Key of the inbox entry, at the revision below.
         std::int64_t revision = 0;
-        bool writing = false; ///< A transaction that takes it is on its way.
+        bool writing = false; ///< A transaction that transfers the job is in flight.
     };
     struct waiting_cancel {
         std::string job;
         reply done;
     };
 
-    // Taking over.
+    // Takeover.
     void load_progress(const std::string& after);
     void load_jobs(const std::string& after);
     void load_vms();
@@ -106,7 +106,7 @@
     void on_lease_renewed(const std::string& vm, const platform::renewal_answer& answer, std::int64_t token);
     void schedule_renewal(const std::string& vm, milliseconds pause);
 
-    // Deciding.
+    // Decisions.
     [[nodiscard]] bool may_act() const;
     void schedule_decision();
     void decide();
@@ -134,7 +134,7 @@
     void write_submits();
     [[nodiscard]] bool has_unconfirmed(const std::vector<waiting_submit>& batch) const;
     void on_submit_stored(const waiting_submit& item);
-    /// Settles the job if the answer to its refused write shows its progress.
+    /// Finishes the submit and returns true if the answer to its refused write contains the job's progress.
     [[nodiscard]] bool finish_if_progress_found(const waiting_submit& item,
                                                 const platform::store_answer& answer);
     void retry_submits(std::vector<waiting_submit> batch);
@@ -142,14 +142,15 @@
     void on_submits_written(std::vector<waiting_submit> batch, const platform::store_answer& answer,
                             std::int64_t token);
 
-    // Requests that did not reach an owner.
+    // Requests in the inbox, which did not reach an owner.
     void process_inbox_submit(const platform::store_item& item);
     void process_inbox_cancel(const platform::store_item& item);
     void transfer_inbox_jobs();
     [[nodiscard]] std::vector<std::string> select_inbox_jobs();
     void on_inbox_jobs_written(const std::vector<std::string>& batch, const platform::store_answer& answer,
                                std::int64_t token);
-    /// A job whose record is stored. A cancelling of it that lies in the inbox takes effect at once.
+    /// Adds a job whose record is stored. If a cancellation of the job is in the inbox, it takes effect at
+    /// once.
     void add_job(const jobs::job_record& record, timestamp accepted);
     [[nodiscard]] std::size_t count_waiting_in_inbox(const std::string& queue) const;
     void remove_from_inbox(const std::string& key);
@@ -167,7 +168,7 @@
                           const platform::store_answer& answer, std::int64_t token);
     void log_if_ended(const std::string& id) const;
     void finish_store_round();
-    /// An answer to what was sent under `token` says that somebody else owns the pool.
+    /// Handles an answer to a request sent under `token` which shows that another node owns the pool.
     void on_ownership_lost(const char* found_by, std::int64_t token);
     [[nodiscard]] platform::store_condition owner_condition() const;
     void run_cleanup();
@@ -177,9 +178,10 @@
     ownership m_ownership;
     jobs::scheduler m_scheduler;
     vm_directory m_directory;
-    watch_task m_inbox_cancels; ///< Apart from the submits: in a full inbox they would be read seconds late.
+    watch_task m_inbox_cancels; ///< Separate from the submits: behind a full inbox, cancellations would be
+                                ///< read seconds late.
     watch_task m_inbox;         ///< Submits.
-    bool m_vms_check_capacity = true; ///< Else they start whatever they are told to.
+    bool m_vms_check_capacity = true; ///< Otherwise they start every run that is ordered.
     bool m_ready = false;
     bool m_ownership_lost = false;
     bool m_shutting_down = false;
@@ -187,7 +189,7 @@
 
     std::map<std::string, jobs::job_progress> m_loaded_progress;
     std::map<std::string, std::int64_t>
-        m_progress_revisions; ///< Of the stored progress of the scheduler's jobs; none: nothing is stored.
+        m_progress_revisions; ///< Of the stored progress of the scheduler's jobs; no entry if none is stored.
     std::map<std::string, jobs::job_phase> m_ended; ///< Jobs that ended and are no longer in the scheduler.
     std::map<std::string, timestamp> m_ended_at;
     jobs::vm_record m_vm_record; ///< VMs that may hold runs, as stored.
@@ -197,21 +199,21 @@
     std::unique_ptr<timer> m_unresponsive_timer;
     std::unique_ptr<timer> m_decide_timer;
     bool m_decision_scheduled = false;
-    bool m_was_acting = true; ///< As last logged.
+    bool m_was_acting = true; ///< Whether the owner could act, as last logged.
 
-    std::vector<waiting_submit> m_submits;      ///< Wait for the write before theirs.
-    std::vector<waiting_submit> m_sent_submits; ///< Of the write that is on its way.
-    std::set<std::string> m_submitting;         ///< Jobs whose record is on its way to the store.
+    std::vector<waiting_submit> m_submits;      ///< Waiting for the write in flight to finish.
+    std::vector<waiting_submit> m_sent_submits; ///< Part of the write in flight.
+    std::set<std::string> m_submitting;         ///< Jobs whose record is not confirmed as stored.
     bool m_writing_submits = false;
     std::map<std::string, std::string>
-        m_unconfirmed_submits; ///< Written at least once without an answer; to queue.
-    std::multimap<std::string, reply> m_repeated_submits; ///< Repeats of submits that are on their way.
+        m_unconfirmed_submits; ///< Jobs written at least once without an answer, with their queues.
+    std::multimap<std::string, reply> m_repeated_submits; ///< Repeats of submits that are in progress.
     std::unique_ptr<timer> m_submit_timer;
     std::vector<waiting_cancel> m_cancels;
-    std::vector<platform::store_item> m_unresolved_inbox_cancels; ///< Cancellings that found no job yet.
-    std::map<std::string, inbox_job> m_inbox_jobs; ///< Jobs in the inbox that are not taken yet.
+    std::vector<platform::store_item> m_unresolved_inbox_cancels; ///< Cancellations that found no job yet.
+    std::map<std::string, inbox_job> m_inbox_jobs; ///< Jobs in the inbox that are not transferred yet.
     std::unique_ptr<timer> m_inbox_timer;
-    std::size_t m_inbox_writes_in_flight = 0; ///< Transactions on their way that take jobs out of the inbox.
+    std::size_t m_inbox_writes_in_flight = 0; ///< Transactions in flight that transfer jobs from the inbox.
 
     std::unique_ptr<timer> m_store_timer;
     std::unique_ptr<timer> m_load_retry_timer;
@@ -222,8 +224,8 @@
     jobs::store_batch m_store_round;
     std::size_t m_chunks_in_flight = 0;
     bool m_store_round_succeeded = true;
-    std::set<std::string> m_cleared_vms; ///< VMs that are to be empty ...
-    timestamp m_cleared_at{0};           ///< ... as was last asked for then.
+    std::set<std::string> m_cleared_vms; ///< VMs to keep empty, by the last demand query.
+    timestamp m_cleared_at{0};           ///< When the last demand query arrived.
     timestamp m_cleaned_up_at{0};
     timestamp m_vm_record_reviewed_at{0};
     timestamp m_inbox_retried_at{0};
--- a/node/pool_vms.cpp
+++ b/node/pool_vms.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// VMs that left the pool are taken out of the record together.
+/// Delay that coalesces the removals from the record of VMs that left the pool.
 constexpr milliseconds record_delay = 300ms;
-/// Between two looks for VMs that have been silent for longer than their lease.
+/// Interval between reviews of the record for VMs that have been unresponsive for longer than their lease.
 constexpr milliseconds record_review_interval = 500ms;
-/// Between two looks at the platform's machines for VMs that an earlier owner used and that don't answer.
+/// Interval between checks of the platform's machines for unresponsive VMs that a previous owner used.
 constexpr milliseconds unresponsive_check_interval = 400ms;
 
 } // namespace
@@ -39,11 +39,11 @@
         schedule_decision();
         return;
     }
-    m_vm_record_timer->start(0ms); // Those that change together are recorded together.
+    m_vm_record_timer->start(0ms); // VMs that change together are recorded together.
 }
 
-/// What runs goes on where it is, also beyond a capacity that has shrunk; nothing is started there until it
-/// fits again.
+/// Logs a change of a VM's capacity. Runs stay on the VM even beyond a capacity that has shrunk; nothing is
+/// started there until it fits again.
 void pool_task::log_capacity_change(const jobs::vm_info& info) const {
     const auto known = m_scheduler.vms().find(info.incarnation);
     if (known == m_scheduler.vms().end() || known->second.info().capacity == info.capacity) {
@@ -76,7 +76,7 @@
     return jobs::belongs_in_record(view);
 }
 
-/// VMs that may hold runs, now or after the next decision.
+/// Returns the VMs that may hold runs, now or after the next decision.
 jobs::vm_record::vms_by_incarnation pool_task::vms_to_record() const {
     jobs::vm_record::vms_by_incarnation wanted;
     for (const auto& [vm, info] : m_directory.vms()) {
@@ -94,8 +94,8 @@
     return wanted;
 }
 
-/// Looks now and then whether VMs are to leave the record, and at once for those that are to be empty: their
-/// machines are wanted elsewhere.
+/// Checks periodically whether VMs can leave the record, and at once for VMs that are to be empty, since
+/// their machines are wanted elsewhere.
 void pool_task::review_vm_record() {
     const timestamp now = event_loop::now();
     const bool released = std::ranges::any_of(m_cleared_vms, [this](const std::string& vm) {
@@ -107,10 +107,10 @@
     }
 }
 
-/// A VM gets its first run only once it is stored that it may hold some, so that a successor knows whom to
-/// ask. Those that are to leave the record get no run from the moment when the write is sent. The write holds
-/// only against the record as this owner knows it: one that is carried out late must not bring an older
-/// record back.
+/// Stores which VMs may hold runs. A VM gets its first run only once the record that names it is stored, so
+/// that a successor knows which VMs to query. VMs that are to leave the record get no run from the time the
+/// write is sent. The write is conditional on the revision that this owner knows: a write that is executed
+/// late must not restore an older record.
 void pool_task::write_vm_record() {
     if (m_vm_record.is_writing() || m_ownership_lost) {
         return;
@@ -180,9 +180,9 @@
     schedule_decision();
 }
 
-/// Looks for VMs that an earlier owner may have used and that are gone, by the platform's list of machines.
-/// Without this the earlier owner's tasks wait for VMs that were moved to other pools, until the longest
-/// lease has run out.
+/// Checks the platform's list of machines for VMs that a previous owner may have used and that no longer
+/// exist. Without this check the previous owner's tasks wait for VMs that were moved to other pools, until
+/// the longest lease has expired.
 void pool_task::check_unresponsive_vms() {
     schedule_decision();
     if (m_scheduler.unconfirmed_vms().empty()) {
@@ -199,10 +199,10 @@
 void pool_task::end_reassigned_vms(const platform::machine_list& list) {
     for (const auto& [vm, info] : m_vm_record.stored()) {
         const auto found = std::ranges::find(list.machines, info.machine, &platform::machine_info::machine);
-        // The list may be a second old, so what is still registered as a VM may be newer than the list. That
-        // another life of the machine is registered proves nothing: an ended life's last heartbeat can bring
-        // its entry back. An entry that can't be read counts, too: another program has written over it, and
-        // tasks may still run on its VM.
+        // The list may be a second old, so a VM that is still registered may be newer than the list. The
+        // registration of another incarnation of the machine proves nothing: the last heartbeat of an ended
+        // incarnation can restore its entry. An unreadable entry counts as registered: another program has
+        // overwritten it, and tasks may still run on its VM.
         const bool registered = m_directory.is_registered(vm);
         if (registered || found == list.machines.end() || !m_scheduler.unconfirmed_vms().contains(vm)) {
             continue;
--- a/tests/node/cancelled_runs_test.cpp
+++ b/tests/node/cancelled_runs_test.cpp
@@ -6,10 +6,10 @@
 namespace {
 
 const std::string job_a = "00000000000000aa";
-/// Below the deadline that a start carries, above the time after which it is given up and stopped.
+/// Below the deadline that a start carries, above the time after which its owner abandons and stops it.
 constexpr milliseconds late_start_delay = 1000ms;
 constexpr milliseconds long_run = 60'000ms;
-/// Enough that no stop of one owner gets through.
+/// More than one owner sends, so that all its stops are lost.
 constexpr int many_stops = 1000;
 
 std::string body_of(int tasks, bool gang, bool long_running) {
@@ -43,9 +43,9 @@
     std::string body;
 };
 
-/// Each runs as two tasks.
+/// Each job has two tasks.
 std::vector<job_kind> job_kinds() {
-    return {{"tasks that end by themselves", body_of(2, false, false)},
+    return {{"short tasks", body_of(2, false, false)},
             {"a gang", body_of(2, true, false)},
             {"long-running tasks", body_of(2, false, true)},
             {"occurrences", body_of_occurrences()}};
@@ -64,7 +64,7 @@
     }
 }
 
-/// Cancels through the node until it is confirmed.
+/// Repeats the cancellation through the node until it is confirmed.
 bool cancel(node_deployment& d, const std::string& node) {
     return d.until([&] { return d.call(node, "DELETE", "/quotes/" + job_a).code == 200; });
 }
@@ -72,8 +72,8 @@
 } // namespace
 
 TEST_CASE("a task that a VM started late, after its job was cancelled, is stopped") {
-    // A cancelled quote is still being worked on minutes later. The order to start it got no answer, and
-    // neither did the stops; it was cancelled, and a moment later the VM carried the start out.
+    // Guards against a cancelled job that keeps running. The start order and the stops get no answer, the job
+    // is cancelled, and the VM executes the delayed start afterwards.
     for (const job_kind& kind : job_kinds()) {
         INFO(std::string(kind.description));
         node_deployment d;
@@ -93,8 +93,8 @@
 }
 
 TEST_CASE("a task that a VM started late is stopped by its owner's successor") {
-    // A cancelled quote is still being worked on minutes later. The node that sent the start is gone for
-    // good before the VM carries it out, and it had neither seen the run nor stopped it.
+    // Guards against a cancelled job that keeps running. Its owner dies before the VM executes the delayed
+    // start, and has neither seen the run nor stopped it.
     for (const job_kind& kind : job_kinds()) {
         INFO(std::string(kind.description));
         node_deployment d;
@@ -116,29 +116,28 @@
 }
 
 TEST_CASE("a successor stops the runs of a job that was cancelled around the change of owner") {
-    // A user cancels and is told so; the work goes on and is billed. Its owner is gone for good; the runs are
-    // known to their VM only, and the cancelling was stored by the old owner, lay in the inbox, or came to
-    // the new one.
+    // Guards against a cancelled job that keeps running. Its owner dies, only the VM knows the runs, and the
+    // cancellation was stored by the previous owner, is in the inbox, or arrives at the successor.
     enum class cancel_time : std::uint8_t { before, inbox, during, after };
     struct change_case {
         const char* description = "";
         cancel_time cancelled_at = cancel_time::before;
-        bool delisted = false; ///< The platform drops the VM's entry meanwhile.
-        bool silent = false;   ///< The VM answers the new owner only after the cancelling is told.
-        int lost_stops = 0;    ///< Of the new owner's.
+        bool delisted = false; ///< The VM's entry is removed from the store meanwhile.
+        bool silent = false;   ///< The VM responds to the successor only after the cancellation is reported.
+        int lost_stops = 0;    ///< Of the successor.
     };
     const std::vector<job_kind> kinds = job_kinds();
     std::size_t number = 0;
     for (const change_case& item :
-         {change_case{"before", cancel_time::before}, change_case{"left in the inbox", cancel_time::inbox},
-          change_case{"while nobody owns the pool", cancel_time::during},
+         {change_case{"before", cancel_time::before}, change_case{"in the inbox", cancel_time::inbox},
+          change_case{"while no node owns the pool", cancel_time::during},
           change_case{"after", cancel_time::after},
           change_case{"before, VM no longer listed", cancel_time::before, true},
           change_case{"before, VM no longer listed, stops lost", cancel_time::before, true, false, 2},
           change_case{"inbox, VM no longer listed, stops lost", cancel_time::inbox, true, false, 2},
-          change_case{"before, VM silent for a while", cancel_time::before, false, true},
-          change_case{"inbox, VM silent for a while", cancel_time::inbox, false, true},
-          change_case{"inbox, VM silent and no longer listed", cancel_time::inbox, true, true}}) {
+          change_case{"before, VM unresponsive for a while", cancel_time::before, false, true},
+          change_case{"inbox, VM unresponsive for a while", cancel_time::inbox, false, true},
+          change_case{"inbox, VM unresponsive and no longer listed", cancel_time::inbox, true, true}}) {
         const job_kind& kind = kinds[number++ % kinds.size()];
         INFO(std::string(item.description), ", ", std::string(kind.description));
         node_deployment d;
--- a/tests/node/capacity_test.cpp
+++ b/tests/node/capacity_test.cpp
@@ -5,9 +5,9 @@
 
 namespace {
 
-constexpr std::size_t task_millicores = 500; ///< Of node_deployment's jobs.
+constexpr std::size_t task_millicores = 500; ///< Of each task in node_deployment's jobs.
 
-/// The most tasks that ran on the VM at a time, counted when one began after `from`.
+/// The most tasks that ran on the VM at the same time, counted at each start after `from`.
 std::size_t max_concurrent_runs(const std::vector<fakes::vm_run>& runs, timestamp from) {
     std::size_t max_runs = 0;
     for (const fakes::vm_run& began : runs) {
@@ -38,7 +38,7 @@
     submit_job("1");
     REQUIRE(d.until([&] { return machine.runs().size() >= 8; }));
     machine.set_capacity({1000, 8192, 0});
-    const timestamp shrunk = event_loop::now() + 1s; // The copy of its registration may be that old.
+    const timestamp shrunk = event_loop::now() + 1s; // The owner's copy of the registration may be that old.
     CHECK(d.reaches_phase("n1", std::string(16, '1'), "completed"));
     CHECK(max_concurrent_runs(machine.runs(), shrunk) <= 1000 / task_millicores);
     machine.set_capacity({3000, 8192, 0});
--- a/tests/node/faulty_task_test.cpp
+++ b/tests/node/faulty_task_test.cpp
@@ -10,10 +10,10 @@
 const std::string faulty_job = "00000000000000fa";
 const std::string sound_job = "00000000000000aa";
 
-/// A task is started at most twice more after three VMs have crashed under it.
+/// A task is started at most twice more after three VMs have crashed while running it.
 constexpr std::size_t max_starts = 5;
 
-/// Starts of the task that its VMs have seen, and ends of VMs under it.
+/// Starts of the task that its VMs have seen, and crashes of VMs while they ran it.
 struct task_run_counts {
     std::size_t starts = 0;
     std::size_t crashes = 0;
@@ -32,12 +32,12 @@
 
 } // namespace
 
-// Guards against a task that crashes VM after VM, since nothing remembers the VMs that ended under it.
+// Guards against a task that crashes VM after VM because no crash evidence is recorded against it.
 TEST_CASE("a task that crashes every VM that starts it is given up, and what ran beside it completes") {
     struct row {
         const char* name = "";
         std::size_t machines = 0;
-        std::optional<std::size_t> owner_killed_after; ///< So many crashes.
+        std::optional<std::size_t> owner_killed_after; ///< Number of crashes.
     };
     const std::array rows{row{"one owner", 3, {}}, row{"a pool of two VMs", 2, {}},
                           row{"an owner that is killed after the first crash", 3, 1},
--- a/tests/node/fleet_test.cpp
+++ b/tests/node/fleet_test.cpp
@@ -47,7 +47,7 @@
     return platform::encode_configuration(result);
 }
 
-/// The pool's demand as its owner tells it in the peak of a turn: far more than its two VMs hold.
+/// The demand that a pool's owner reports during a surge: far more than its two VMs can hold.
 node::peer_answer surge_demand() {
     node::peer_answer answer = node::make_answer(node::peer_outcome::ok);
     answer.demand.need_millicores = 64'000;
@@ -62,14 +62,14 @@
     return answer;
 }
 
-/// How long those take to answer whom the machines' owner asks.
+/// Delays of the answers to the fleet's owner.
 struct answer_delays {
-    milliseconds owner{20};  ///< Of the pool that needs machines.
-    milliseconds list{0};    ///< The platform, for its list of machines.
-    bool other_owner = true; ///< Whether the owner of another pool answers at all.
+    milliseconds owner{20};  ///< Of the owner of the pool that needs machines.
+    milliseconds list{0};    ///< Of the platform's list of machines.
+    bool other_owner = true; ///< Whether the other pool's owner answers at all.
 };
 
-/// Whether a machine is ordered into the pool that needs them.
+/// Whether a machine is ordered into the pool that needs machines.
 bool pool_gets_machines(const answer_delays& delays) {
     event_loop loop;
     fakes::platform_store store(loop);
@@ -135,9 +135,9 @@
 } // namespace
 
 TEST_CASE("a pool whose owner is busy gets machines as well") {
-    // In the peak of a turn the pool that needs machines most gets none, while spares stand idle: its owner's
-    // loop takes 200 ms a turn, the fleet's owner waits 150 ms for the pools' demands, plans without those
-    // that are missing, and drops an answer that comes after the next round has begun.
+    // Guards against a pool that gets no machine at its demand peak while spares are idle: its owner's loop
+    // takes 200 ms per iteration, the fleet's owner waits 150 ms for demands, plans without the missing ones,
+    // and drops an answer that arrives after the next round has begun.
     start_test_log();
     for (const milliseconds owner_takes : {20ms, 100ms, 250ms}) {
         INFO("the pool's owner answers after ", owner_takes.count(), " ms");
@@ -146,9 +146,9 @@
 }
 
 TEST_CASE("a pool gets machines while another pool's owner is dead") {
-    // A turn of demand begins while a node is dead or cut off that owns another pool: the pool's callers are
-    // late or turned away for two seconds, and spares stand idle. The machines' owner waits 150 ms for the
-    // dead one, and drops the list of machines that comes after its next round has begun, each time.
+    // Guards against pools that get no machine for two seconds while another pool's owner is dead: each round
+    // waits 150 ms for that owner, and the list of machines is dropped because it arrives after the next
+    // round has begun.
     start_test_log();
     for (const milliseconds list_takes : {0ms, 20ms, 200ms}) {
         INFO("the list of machines takes ", list_takes.count(), " ms");
@@ -157,8 +157,8 @@
 }
 
 TEST_CASE("a list of machines that takes longer than a round is used") {
-    // The platform is slow, fifty times its usual few milliseconds: no pool gets a machine for as long as it
-    // lasts, since each list comes after the next round has begun.
+    // Guards against pools that get no machine while the platform is slow, fifty times its usual few
+    // milliseconds: each list arrives after the next round has begun.
     start_test_log();
     CHECK(pool_gets_machines({.list = 300ms}));
 }
--- a/tests/node/inbox_test.cpp
+++ b/tests/node/inbox_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-const std::string job_id = "a000000000000000"; ///< What leave_in_inbox("a", 1) leaves.
+const std::string job_id = "a000000000000000"; ///< The job that leave_in_inbox("a", 1) stores.
 const std::string first_id = "b000000000000000";
 constexpr milliseconds wait_timeout = 15s;
 
@@ -35,10 +35,9 @@
 } // namespace
 
 TEST_CASE("a job in the inbox is taken although its submit at the owner was refused") {
-    // A desk is told that its booking is accepted, and it never runs. Its submit waited at the pool's busy
-    // owner; after 900 ms the entry left the job in the inbox and told the client so. The owner read the
-    // inbox while the submit still waited, passed the job over for that, and then the store refused the
-    // submit's own write. Nothing makes the owner look at the inbox again until another job lies there.
+    // Guards against an accepted job that never runs: its submit waits at a busy owner, and after 900 ms the
+    // entry stores the job in the inbox. The owner skips it there because of the submit, whose write the
+    // store then refuses, and does not process the inbox until another job arrives there.
     node_deployment d;
     d.serve_with_one_vm(50ms);
     d.store.hold_writes("sp/job/");
@@ -51,11 +50,11 @@
     const std::size_t calls = d.store.call_count(std::string(platform::wire::commit_path));
     send_submit(d, first_id, first, first_done);
     REQUIRE(d.until([&] { return d.store.call_count(std::string(platform::wire::commit_path)) > calls; }));
-    send_submit(d, job_id, second, second_done); // Waits behind the first one's write.
+    send_submit(d, job_id, second, second_done); // Waits for the first submit's write.
     d.store_in_inbox("a", 1);
     REQUIRE(d.until([&] { return inbox_jobs(d) == 1; }));
     d.store.set_busy(true);
-    d.store.hold_writes({}); // The first one's write is carried out, the second one's refused.
+    d.store.hold_writes({}); // The first submit's write is executed, the second one's is refused.
     REQUIRE(d.until([&] { return second_done; }));
     d.store.set_busy(false);
     REQUIRE(d.reaches_phase("n1", first_id, "completed"));
@@ -68,11 +67,9 @@
 }
 
 TEST_CASE("a job that reached its owner and the inbox counts once and runs once") {
-    // A queue is said to hold a waiting job for good though all have ended, and minutes later a booking that
-    // was completed is made a second time. The job's submit waited at the pool's busy owner and was left in
-    // the inbox as well; the owner passed it over there while the submit waited, and did not look again when
-    // it was stored. When it had forgotten the ended job, the next job in the inbox made it look, and it took
-    // the old one as new.
+    // Guards against a job that counts as waiting permanently and later runs twice: its submit waits at a
+    // busy owner while it is also in the inbox, where the owner skips it. Once the owner has forgotten the
+    // ended job, the next job in the inbox makes it process the old entry as a new job.
     node_deployment d;
     d.serve_with_one_vm(50ms);
     d.nodes["n1"].settings->ended_job_retention = 1s;
@@ -90,7 +87,7 @@
     REQUIRE(d.reaches_phase("n1", job_id, "completed"));
     CHECK(loop_until(
         d.loop, [&] { return d.pending_count("n1") == 0 && d.store.count("sp/inbox/") == 0; }, wait_timeout));
-    // Forgotten, as after the time for which ended jobs are kept.
+    // The owner has forgotten the job, as after the retention time of ended jobs.
     REQUIRE(d.until([&] { return d.store.count("sp/progress/") == 0; }));
     d.store_in_inbox("c", 1);
     REQUIRE(d.reaches_phase("n1", "c000000000000000", "completed"));
@@ -99,11 +96,10 @@
     d.check_runs_once();
 }
 
-TEST_CASE("a cancelling in the inbox takes effect while the submits there are still being read") {
-    // A client cancels its job and is told that it is cancelled; 4 to 6 s later more of the job's tasks
-    // start. The pool's owner was slow to answer, so the entry left the cancelling in the inbox, behind
-    // hundreds of jobs; they came in one answer of 100 KB and more, which took the busy owner seconds to
-    // read.
+TEST_CASE("a cancellation in the inbox takes effect while the submits there are still being read") {
+    // Guards against tasks that start 4 to 6 s after the cancellation of their job was reported: the
+    // cancellation is in the inbox behind hundreds of jobs, in one answer of 100 KB and more, which a busy
+    // owner needs seconds to read.
     node_deployment d;
     d.serve_with_one_vm(60s);
     const std::string job = "c000000000000000";
--- a/tests/node/late_write_test.cpp
+++ b/tests/node/late_write_test.cpp
@@ -23,7 +23,7 @@
     return platform::encode_job(spec);
 }
 
-/// Has run a job, so that the next write to the store is about the next job.
+/// Runs a job, so that the next write to the store concerns the next job.
 void run_warm_up_job(node_deployment& d) {
     d.serve_with_one_vm(100ms);
     REQUIRE(d.call("n1", "POST", "/quotes/" + warm_up, d.job_body(1)).code == 200);
@@ -42,11 +42,10 @@
 
 } // namespace
 
-TEST_CASE("a submit's write that is carried out late does not bring the job back") {
-    // A booking is made a second time, hours after the first. The owner's first write of the job's record was
-    // not answered, so it was repeated, the job ran and ended; then the first write was carried out, since
-    // its only condition, the owner's claim, still held. The record outlives the memory of the job's end, and
-    // the next owner takes it for a job that has not begun.
+TEST_CASE("a submit's write that is executed late does not restore the job") {
+    // Guards against a job that runs again hours later: the first write of its record is not answered and is
+    // repeated, the job ends, and the first write is executed late, since its only condition, the owner's
+    // claim, still holds. The next owner takes the record for a job that has not begun.
     node_deployment d;
     run_warm_up_job(d);
     d.store.delay_writes(1);
@@ -57,15 +56,14 @@
         d.loop, [&] { return d.store.count("sp/job/p/") == 0; }, wait_timeout));
 }
 
-TEST_CASE("a write of progress that is carried out late does not undo a newer one") {
-    // A desk is told that its booking is completed and later that it is queued, or a task that was done runs
-    // again. A write of the job's progress was not answered; a newer one, with the job's end, was stored and
-    // told; then the older one was carried out, since its only condition, the owner's claim, still held. The
-    // next owner reads the older one.
+TEST_CASE("a progress write that is executed late does not undo a newer one") {
+    // Guards against a completed job that is reported as queued or runs again: a progress write is not
+    // answered, a newer one with the job's end is stored, and the older one is executed late, since its only
+    // condition, the owner's claim, still holds. The next owner reads the older progress.
     node_deployment d;
     run_warm_up_job(d);
     REQUIRE(d.call("n1", "POST", "/quotes/" + job_a, two_step_body()).code == 200);
-    d.store.delay_writes(1); // The next write tells that the first step is done.
+    d.store.delay_writes(1); // The next write records that the first step is done.
     REQUIRE(d.until([&] { return d.store.pending_late_writes() == 1; }));
     REQUIRE(d.reaches_phase("n1", job_a, "completed"));
     REQUIRE(d.until([&] { return d.store.pending_late_writes() == 0; }));
@@ -75,25 +73,25 @@
     d.check_runs_once();
 }
 
-TEST_CASE("progress that was stored without an answer is replaced by what came since") {
-    // A booking that is done is shown as running for good, and its VM keeps its ends. The write of its first
-    // step was carried out without an answer, and what the owner wrote next held only against what was
-    // before.
+TEST_CASE("progress that was stored without an answer is replaced by later progress") {
+    // Guards against a completed job that is reported as running permanently, while its VM keeps the ends:
+    // the write of its first step is executed without an answer, and the owner's next write is conditional on
+    // the progress before it.
     node_deployment d;
     run_warm_up_job(d);
     REQUIRE(d.call("n1", "POST", "/quotes/" + job_a, two_step_body()).code == 200);
     const std::size_t conflicts = d.store.conflicts();
-    d.store.lose_answers(1); // Of the write which tells that the first step is done.
+    d.store.lose_answers(1); // Of the write that records that the first step is done.
     REQUIRE(shows_in_time(d, "n1", job_a, "completed"));
     CHECK(d.store.conflicts() > conflicts);
     CHECK(d.store.count("sp/job/p/") == 0);
     d.check_runs_once();
 }
 
-TEST_CASE("many jobs that end together are stored, in transactions that the store takes") {
-    // Nobody hears that their bookings are cancelled. An ended job takes three entries of a transaction, and
-    // the store refuses one of more than it takes, again and again.
-    constexpr std::size_t jobs = 40; // More than go into one transaction in any way.
+TEST_CASE("many jobs that end together are stored, in transactions within the store's limit") {
+    // Guards against cancellations that are never reported: an ended job takes three entries of a
+    // transaction, and the store refuses a transaction of more entries than its limit on every retry.
+    constexpr std::size_t jobs = 40; // More than one transaction can hold in any case.
     node_deployment d;
     d.add_vm("v1", 100ms);
     d.store_in_inbox("c", jobs);
@@ -109,11 +107,10 @@
     CHECK(d.vms[0]->runs().empty());
 }
 
-TEST_CASE("a job that was stored without an answer is not forgotten when its owner claims anew") {
-    // A desk is told that its booking is accepted; it is shown as queued and never runs. The owner's write of
-    // the job was carried out without an answer, and another entry, which found the record, told the client.
-    // The owner's lease had lapsed and it claimed anew; it repeated the write under the old token, was
-    // refused by its own claim, and dropped the job, though it did not read the pool's jobs again.
+TEST_CASE("a job that was stored without an answer is kept when its owner claims the pool again") {
+    // Guards against an accepted job that never runs: its record is stored without an answer, and another
+    // entry reports the job accepted. The owner's lease expires, it claims the pool again, repeats the write
+    // under the old token, gets a conflict, and drops the job without reading the pool's jobs again.
     node_deployment d;
     run_warm_up_job(d);
     d.start_node("n2");
@@ -149,7 +146,7 @@
     CHECK(answer.code == 200);
     REQUIRE(d.until([&] { return d.store.conflicts() > conflicts; }));
     d.store.on_change({});
-    // Until the owner has heard of its own claim.
+    // Until the owner has received its own claim.
     const timestamp end = event_loop::now() + 3s;
     REQUIRE(d.until([&] { return event_loop::now() >= end; }));
     d.store.hold_watches({});
--- a/tests/node/overload_test.cpp
+++ b/tests/node/overload_test.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/// Hands jobs in until one is refused for load; returns whether one was.
+/// Submits jobs until one is refused for load; returns whether one was refused.
 bool submit_until_refused(node_deployment& d, const std::string& node) {
     for (int i = 10; i < 99; ++i) {
         const std::string id = "b0000000000000" + std::to_string(i);
@@ -18,10 +18,10 @@
 
 } // namespace
 
-TEST_CASE("an entry leaves no jobs in the inbox of a pool that turned jobs away just before") {
-    // Callers are told that their jobs are accepted, and these are never done. The pool's owner is overloaded
-    // and answers late; for a second after each late answer its entries left all that came in its inbox,
-    // which nobody judges: up to 70 jobs a second, of a pool that held 440 with three VMs.
+TEST_CASE("an entry leaves no jobs in the inbox of a pool that has just refused jobs") {
+    // Guards against accepted jobs that are never done: an overloaded owner answers late, and for a second
+    // after each late answer its entries store all jobs in its inbox without admission control: up to 70 jobs
+    // a second, in a pool that held 440 with three VMs.
     node_deployment d;
     d.start_node("n1"); // Without a VM, jobs wait and more are soon refused.
     d.wait_until_serving("n1");
@@ -36,6 +36,6 @@
     CHECK(answer.code == 429);
     CHECK(!answer.headers.get("Retry-After").empty());
     CHECK(!d.store.contains("sp/inbox/p/submit/" + refused));
-    // A refusal must be true: what lies there already is accepted.
+    // A job that is already in the inbox is accepted, so a repeat of it must not be refused.
     CHECK(d.call("n2", "POST", "/quotes/a000000000000000", d.job_body(1)).code == 200);
 }
