--- a/node/pool_inbox.cpp
+++ b/node/pool_inbox.cpp
@@ -24,7 +24,7 @@
         return;
     }
     if (m_ownership_lost) {
-        m_unresolved_inbox_cancels.push_back(item); // Retried after a new claim by this node has succeeded.
+        m_unresolved_inbox_cancels.push_back(item); // Retried once a new claim by this node has succeeded.
         return;
     }
     peer_request request;
--- a/node/pool_submits.cpp
+++ b/node/pool_submits.cpp
@@ -22,7 +22,7 @@
 
 void pool_task::submit(const peer_request& request, const reply& done) {
     const std::string& id = request.spec.id;
-    // Includes jobs that are still in the inbox: judged as new, a repeat of an accepted job could be refused
+    // Includes jobs that are still in the inbox: treated as new, a repeat of an accepted job could be refused
     // for load.
     if (m_scheduler.has_job(id) || m_ended.contains(id) || m_inbox_jobs.contains(id)) {
         done(make_answer(peer_outcome::ok));
--- a/node/pool_task.cpp
+++ b/node/pool_task.cpp
@@ -35,8 +35,8 @@
 jobs::scheduler_settings scheduler_settings_for(const node_settings& settings) {
     jobs::scheduler_settings result;
     result.lease = std::min(settings.vm_lease, max_lease);
-    // The previous owner acts for a while past its lease and grants full leases until then; the clocks of VMs
-    // may run slow.
+    // The previous owner acts for a while past its lease and grants full leases until then; VM clocks may run
+    // slow.
     result.takeover_timeout = membership_task::grace_after_lease +
                               std::chrono::duration_cast<milliseconds>(result.lease * 1.03) + 500ms;
     result.max_stop_time = settings.stop_time;
@@ -169,8 +169,8 @@
                                     {"inbox_age_ms", inbox_age().count()}});
 }
 
-/// Logs one line for each step of which tasks were placed, for each note, for each VM that ended in use, and
-/// for each change of a suspicion level.
+/// Logs one line for each step with placed tasks, for each note, for each VM that ended while it was in use,
+/// and for each change of a suspicion level.
 void pool_task::log_decisions(const jobs::decisions& wanted) const {
     for (std::size_t i = 0; i < wanted.starts.size();) {
         const jobs::task_id& first = wanted.starts[i].task;
--- a/node/pool_task.hpp
+++ b/node/pool_task.hpp
@@ -74,7 +74,7 @@
     /// A job that an entry accepted and stored in the inbox.
     struct inbox_job {
         jobs::job_record record;
-        std::string key; ///< Key of the inbox entry, at the revision below.
+        std::string key; ///< Key of the inbox entry.
         std::int64_t revision = 0;
         bool writing = false; ///< A transaction that transfers the job is in flight.
     };
--- a/tests/node/cancelled_runs_test.cpp
+++ b/tests/node/cancelled_runs_test.cpp
@@ -9,7 +9,7 @@
 /// Below the deadline that a start carries, above the time after which its owner abandons and stops it.
 constexpr milliseconds late_start_delay = 1000ms;
 constexpr milliseconds long_run = 60'000ms;
-/// More than one owner sends, so that all its stops are lost.
+/// More stops than one owner sends, so that all of them are lost.
 constexpr int many_stops = 1000;
 
 std::string body_of(int tasks, bool gang, bool long_running) {
@@ -124,7 +124,7 @@
         cancel_time cancelled_at = cancel_time::before;
         bool delisted = false; ///< The VM's entry is removed from the store meanwhile.
         bool silent = false;   ///< The VM responds to the successor only after the cancellation is reported.
-        int lost_stops = 0;    ///< Of the successor.
+        int lost_stops = 0;    ///< Stops of the successor that are lost.
     };
     const std::vector<job_kind> kinds = job_kinds();
     std::size_t number = 0;
--- a/tests/node/count_test.cpp
+++ b/tests/node/count_test.cpp
@@ -83,7 +83,7 @@
 
 TEST_CASE("a repeat of a job that is in the inbox is not refused for load") {
     // Guards against answering 429 for a job that then runs: its first attempt is in the inbox and the answer
-    // was lost; the repeat reaches the owner, which knows only transferred jobs and judges it as new.
+    // was lost; the repeat reaches the owner, which knows only transferred jobs and treats it as new.
     node_deployment d;
     d.start_node("n1"); // Without a VM, jobs wait and more are soon refused.
     d.wait_until_serving("n1");
@@ -127,7 +127,7 @@
 TEST_CASE("a repeat of a job that its owner has not read from the inbox is not refused for load") {
     // Guards against answering 429 for a job that then runs: its first attempt is in the inbox and the answer
     // was lost; the repeat reaches an owner whose copy of the inbox is seconds old, because the owner is busy
-    // or its connection went silent, and which judges the job as new.
+    // or its connection went silent, and which treats the job as new.
     node_deployment d;
     d.start_node("n1"); // Without a VM, jobs wait and more are soon refused.
     d.wait_until_serving("n1");
