--- a/peer/fanout.cpp
+++ b/peer/fanout.cpp
@@ -37,7 +37,8 @@
         add_if_absent(peers, *zone[(offset + i) % zone.size()], self);
     }
     if (!fleet.entries.empty()) {
-        // Each entry begins elsewhere, so that one tick's turns don't all meet at the same peer.
+        // The start position depends on the entry's id, so that the entries don't all pick the same peer in
+        // one tick.
         const std::uint64_t start = hash64(self);
         add_if_absent(peers, fleet.entries[(start + tick) % fleet.entries.size()], self);
     }
--- a/peer/messages.hpp
+++ b/peer/messages.hpp
@@ -15,16 +15,16 @@
 inline constexpr std::string_view fleet_value = "fleet";
 inline constexpr std::string_view jobs_prefix = "jobs/";
 
-/// What an entry says of itself about once a second, and at once when a value came into force.
+/// State that an entry reports about once a second, and immediately when a new value is in force.
 struct heartbeat {
     std::string id;
     std::string availability_zone;
     std::string address;
     std::uint16_t peer_port = 0;
     std::uint64_t incarnation = 0;
-    std::uint64_t sequence = 0; ///< Rises within an incarnation; an older one that arrives late is dropped.
+    std::uint64_t sequence = 0; ///< Increases within an incarnation; late, older heartbeats are dropped.
     bool ready = false;
-    std::map<std::string, std::uint64_t> revisions; ///< In force at this entry.
+    std::map<std::string, std::uint64_t> revisions; ///< Revisions in force at this entry, by value name.
     std::set<std::string> busy_vms;
     std::set<std::string> suspect_vms;
     std::set<std::string> healthy_vms;
@@ -36,7 +36,7 @@
     }
 };
 
-/// Asks a peer for newer values than those listed.
+/// Requests all values that are newer than `known_revisions` from a peer.
 struct value_request {
     std::string from;
     std::map<std::string, std::uint64_t> known_revisions;
@@ -47,7 +47,7 @@
     }
 };
 
-/// One value in a reply: whole, or as the changes since the revision that the asker has.
+/// One value in a reply: complete, or as the changes since the revision that the requester has.
 struct value_transfer {
     std::string name;
     std::uint64_t revision = 0;
--- a/peer/peer.hpp
+++ b/peer/peer.hpp
@@ -1,8 +1,9 @@
 #pragma once
 
-/// Public header of the peer library: what the entries of a deployment tell each other. Heartbeats go over
-/// UDP, values over TCP; both are cereal, bounded, versioned and authenticated by a shared key. `replica` and
-/// `fanout` are pure decisions; `peer_task` owns the sockets and belongs to the thread of its loop.
+/// Public header of the peer library: the protocol between the entries of a deployment. Heartbeats are sent
+/// over UDP, values over TCP. Both are encoded with cereal, limited in size, versioned and authenticated by a
+/// shared key. `replica` and `fanout` do no I/O; `peer_task` owns the sockets and must only be used on the
+/// thread of its event loop.
 
 #include "peer/fanout.hpp"
 #include "peer/messages.hpp"
--- a/peer/peer_task.cpp
+++ b/peer/peer_task.cpp
@@ -7,7 +7,7 @@
 constexpr milliseconds pull_timeout = 2s;
 constexpr milliseconds probe_timeout = 1s;
 
-/// Decodes a message that has passed its seal, or nothing when it is damaged.
+/// Verifies and decodes a message. Returns nothing when the seal is wrong or the body is damaged.
 template <typename Message>
 std::optional<Message> unseal_message(std::string_view key, message_kind kind, std::string_view sealed) {
     const auto body = unseal(key, kind, sealed);
@@ -53,8 +53,8 @@
     auto& [incarnation, sequence] = m_latest_heartbeats[message->id];
     if (message->incarnation < incarnation ||
         (message->incarnation == incarnation && message->sequence <= sequence)) {
-        // UDP may bring an old heartbeat late or twice; its report of applied revisions or of requests in
-        // progress would stand for a moment that has passed.
+        // UDP can deliver a heartbeat late or twice. Its applied revisions and requests in progress are
+        // outdated by then.
         return;
     }
     incarnation = message->incarnation;
--- a/peer/peer_task.hpp
+++ b/peer/peer_task.hpp
@@ -10,17 +10,17 @@
 
 namespace siskinpaddle {
 
-/// Counts of the exchange between peers.
+/// Counters of the traffic between peers.
 struct peer_usage {
     std::uint64_t heartbeats_sent = 0;
     std::uint64_t heartbeats_received = 0;
-    std::uint64_t refused = 0; ///< Messages with a wrong seal, version or form.
+    std::uint64_t refused = 0; ///< Messages with a wrong seal or version, or that can't be decoded.
     std::uint64_t pulls = 0;
 };
 
-/// Owns the sockets between entries: a UDP socket for heartbeats and a TCP listener for values, on one port
-/// number. The TCP listener is bound as long as the process lives, which is what makes a refused connection a
-/// proof that the process has ended. Refuses and counts whatever isn't sealed by the shared key.
+/// Owns the sockets between entries: a UDP socket for heartbeats and a TCP listener for values, on the same
+/// port number. The TCP listener stays bound as long as the process exists, so a refused connection proves
+/// that the process has ended. Messages that aren't sealed with the shared key are refused and counted.
 class peer_task {
   public:
     struct handlers {
@@ -30,20 +30,21 @@
 
     peer_task(event_loop& loop, std::string key, handlers on_message);
 
-    /// Returns false when the address can't be bound.
+    /// Binds both sockets. Returns false when the address can't be bound.
     [[nodiscard]] bool listen(const endpoint& where);
 
     void send(const heartbeat& message, const endpoint& to);
 
-    /// Asks the peer for newer values. `done` gets nothing when no good answer came.
+    /// Requests newer values from the peer. Calls `done` with nothing when no valid reply arrived in time.
     void pull(const value_request& request, const endpoint& from,
               std::function<void(std::optional<value_reply>)> done);
 
-    /// Finds out whether a process listens at the peer's port: calls back with true only when the port
-    /// refused.
+    /// Checks whether a process listens at the peer's port. Calls `done` with true only when the connection
+    /// was refused.
     void probe(const endpoint& peer, std::function<void(bool refused)> done);
 
-    /// While set, nothing is sent to peers or taken from them, as in a partition.
+    /// Simulates a network partition: while set, heartbeats are neither sent nor accepted and requests from
+    /// peers get an empty reply. Pulls and probes by this entry are not affected.
     void set_partitioned(bool partitioned) { m_is_partitioned = partitioned; }
 
     [[nodiscard]] const peer_usage& usage() const noexcept { return m_usage; }
--- a/peer/replica.cpp
+++ b/peer/replica.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Fleet changes that are remembered. A peer that missed more gets the whole record.
+/// Fleet deltas that are kept. A peer that missed more of them gets the complete record.
 constexpr std::size_t max_deltas = 64;
 constexpr std::size_t max_documents = 8;
 
-/// The changes of consecutive deltas in one.
+/// Merges the consecutive deltas from revision `from` on into one.
 fleet_delta merge_deltas(const std::deque<fleet_delta>& deltas, std::uint64_t from) {
     fleet_delta result = deltas.back();
     result.base = from;
--- a/peer/replica.hpp
+++ b/peer/replica.hpp
@@ -10,13 +10,13 @@
 
 namespace siskinpaddle {
 
-/// What became of a value that was offered to a replica.
+/// Result of applying a received value to a replica.
 enum class apply_result : std::uint8_t {
     applied,
     same,
-    older, ///< Refused: values never go back.
+    older, ///< Refused: revisions never decrease.
     damaged,
-    wrong_base ///< A delta that doesn't fit; ask for the whole value.
+    wrong_base ///< The delta starts at another revision; request the complete value.
 };
 
 template <>
@@ -27,23 +27,23 @@
     std::pair{apply_result::damaged, std::string_view("damaged")},
     std::pair{apply_result::wrong_base, std::string_view("wrong-base")}};
 
-/// An entry's copy of the values that the platform holds: the configuration, the fleet record and the job
-/// tables. Each moves only to higher revisions, whoever brings it: the store, a peer, or a store that was
-/// restored from an old copy. Pure; not thread-safe.
+/// An entry's copy of the values in the store: the configuration, the fleet record and the job tables. Each
+/// value only changes to higher revisions, whether it comes from the store, a peer, or a store that was
+/// restored from an old backup. Pure; not thread-safe.
 class replica {
   public:
-    /// Takes the bytes as the store holds them.
+    /// Applies a value in its stored encoding, read at `store_version`.
     [[nodiscard]] apply_result apply_stored(const std::string& name, const std::string& bytes,
                                             std::uint64_t store_version);
 
-    /// Takes what a peer sent.
+    /// Applies a value that a peer sent.
     [[nodiscard]] apply_result apply_transfer(const value_transfer& transfer);
 
-    /// Newer values than the asker's: the fleet as a delta where the changes since its revision are still
-    /// known.
+    /// Returns the values that are newer than the requester's. The fleet is sent as a delta when the changes
+    /// since the requester's revision are still known.
     [[nodiscard]] value_reply build_reply(const value_request& request) const;
 
-    /// Whether a peer with these revisions in force has something newer.
+    /// Whether any of `revisions` is newer than the one in force here.
     [[nodiscard]] bool is_behind(const std::map<std::string, std::uint64_t>& revisions) const;
 
     [[nodiscard]] const std::map<std::string, std::uint64_t>& revisions() const noexcept {
@@ -51,15 +51,15 @@
     }
     [[nodiscard]] std::uint64_t revision(std::string_view name) const;
 
-    /// The value as last seen in the store, to build a compare-and-swap on.
+    /// Latest known store version of the value, for a compare-and-swap; 0 when none is known.
     [[nodiscard]] std::uint64_t store_version(std::string_view name) const;
 
     [[nodiscard]] const configuration& config() const noexcept { return m_config; }
     [[nodiscard]] const stored_configuration& stored_config() const noexcept { return m_stored_config; }
     [[nodiscard]] const fleet_record& fleet() const noexcept { return m_fleet; }
-    /// The job table of a pool; empty when none is known.
+    /// Returns the job table of a pool; empty when none is known.
     [[nodiscard]] const job_table& jobs(const std::string& pool) const;
-    /// An earlier configuration document, as far as remembered.
+    /// Returns an earlier configuration document, or null when it is no longer kept.
     [[nodiscard]] const boost::json::value* find_document(std::uint64_t number) const;
 
   private:
--- a/policy/answers.cpp
+++ b/policy/answers.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Less time than this is not worth another attempt.
+/// No further attempt is made when less time than this is left.
 constexpr milliseconds min_retry_time = 20ms;
 
 answer_code answer_code_for(attempt_result result) {
@@ -42,7 +42,7 @@
         return {next_step::deliver, {}};
     }
     const bool is_safe_to_retry = is_confirmed_not_run(context.result) || context.repeatable;
-    // A larger answer would be too large from any target, so asking again only costs.
+    // The answer would be too large from any target, so a retry only adds load.
     const bool can_retry_help = context.result != attempt_result::answer_too_large;
     if (is_safe_to_retry && can_retry_help && context.has_retry_budget && context.attempts < max_attempts &&
         context.remaining >= min_retry_time) {
--- a/policy/budget.cpp
+++ b/policy/budget.cpp
@@ -30,7 +30,7 @@
         suspected.insert(report.suspect_vms.begin(), report.suspect_vms.end());
     }
     const std::set<std::string> silent = find_silent_zones(fleet, seen, now);
-    // Both are in order of ids, so one walk pairs them.
+    // Both sequences are sorted by id, so a single pass matches them.
     auto listed = seen.listed_vms.begin();
     for (const vm_record& vm : fleet.vms) {
         while (listed != seen.listed_vms.end() && listed->first < vm.id) {
--- a/policy/budget.hpp
+++ b/policy/budget.hpp
@@ -10,37 +10,39 @@
 
 namespace siskinpaddle {
 
-/// How old the VM list may be before planned steps stop.
+/// Maximum age of the VM list; with an older list no planned steps are started.
 inline constexpr milliseconds max_list_age = 15s;
-/// How long a zone's entries may all be silent before its VMs count as doubtful.
+/// Time without a report from any entry of a zone after which the zone's VMs no longer count as available.
 inline constexpr milliseconds zone_silence_timeout = 5s;
 
-/// One pool's capacity as far as it is known.
+/// Known capacity of one pool, in VMs.
 struct pool_availability {
     std::int64_t promised = 0;
     std::int64_t size = 0;
-    std::int64_t held = 0;        ///< VMs whose record names the pool, in any state but lost.
-    std::int64_t available = 0;   ///< Known to take work now.
-    std::int64_t planned_out = 0; ///< Out of service by our own planned steps.
+    std::int64_t held = 0;        ///< VMs whose record names the pool, in any state except lost.
+    std::int64_t available = 0;   ///< VMs that are known to accept work.
+    std::int64_t planned_out = 0; ///< VMs that are out of service because of the planner's own steps.
     std::int64_t lost = 0;
 
-    /// Whether failures, not we, hold the pool below its promise.
+    /// Whether fewer VMs are available than promised. The planner's own steps never cause this.
     [[nodiscard]] bool breached() const noexcept { return available < promised; }
 };
 
 using availability_map = std::map<std::string, pool_availability>;
 
-/// Zones whose registered entries have all been silent for `zone_silence_bound`. What happens there is
-/// unknown.
+/// Returns the zones of which no registered entry has reported within `zone_silence_timeout`. The state of
+/// their VMs is unknown.
 [[nodiscard]] std::set<std::string> find_silent_zones(const fleet_record& fleet, const observations& seen,
                                                       timestamp now);
 
-/// Counts every pool's capacity. A VM counts as available only when it is serving, listed as live, suspected
-/// by no entry and not in a silent zone: lag and doubt count against planned steps. Pure.
+/// Counts the capacity of every pool. A VM counts as available only when it is serving, listed as live,
+/// suspected by no entry and not in a silent zone. A VM with an outdated or uncertain state thus restricts
+/// planned steps. Pure.
 [[nodiscard]] availability_map measure_availability(const configuration& config, const fleet_record& fleet,
                                                     const observations& seen, timestamp now);
 
-/// Whether a planned step may make `count` more VMs of the pool unavailable and leave `reserve` spare ones.
+/// Whether `count` more VMs of the pool may be made unavailable while `reserve` VMs above the promised number
+/// stay available.
 [[nodiscard]] bool can_take_out_of_service(const pool_availability& pool, std::int64_t count,
                                            std::int64_t reserve);
 
--- a/policy/byte_budget.hpp
+++ b/policy/byte_budget.hpp
@@ -6,16 +6,16 @@
 
 namespace siskinpaddle {
 
-/// Holds control traffic to an average rate while single events go through at once. A fleet record or VM list
-/// is large; sent at every change, a wave over a large fleet would cost more than a node may spend. Pure; not
-/// thread-safe.
+/// Token bucket that limits control traffic to an average rate while single events are sent immediately. A
+/// fleet record or VM list is large; if it were sent at every change, a wave over a large fleet would exceed
+/// a node's budget for control traffic. Pure; not thread-safe.
 class byte_budget {
   public:
-    /// `per_second` bytes are earned each second, up to `burst`.
+    /// The budget refills by `per_second` bytes each second, up to `burst` bytes.
     byte_budget(std::int64_t per_second, std::int64_t burst) noexcept
         : m_bytes_per_second(per_second), m_max_bytes(burst), m_available_bytes(burst) {}
 
-    /// Whether something may be sent now. Preconditions: `now` never goes back.
+    /// Refills the budget and returns whether a message may be sent. Precondition: `now` never decreases.
     [[nodiscard]] bool allows(timestamp now) noexcept {
         const std::int64_t earned = (now - m_last_refill).count() * m_bytes_per_second / 1000;
         if (earned > 0) {
@@ -25,7 +25,8 @@
         return m_available_bytes > 0;
     }
 
-    /// Counts what was sent, also beyond the level: the debt is earned back before anything is allowed again.
+    /// Deducts the bytes that were sent. The budget may become negative; nothing is allowed until it has
+    /// refilled above zero.
     void consume(std::int64_t bytes) noexcept { m_available_bytes -= bytes; }
 
   private:
--- a/policy/claims.cpp
+++ b/policy/claims.cpp
@@ -33,8 +33,8 @@
 }
 
 bool claim_shard::find_missing_generation(std::uint64_t& generation) const {
-    // Newest first: once a generation has left the store, so have all before it. The generation just before
-    // the open one comes with it.
+    // Searches from the newest generation down: when a generation has been deleted from the store, all older
+    // ones have been too. The generation just before the open one is part of the open log.
     for (std::uint64_t next = m_open.generation; next > m_first_generation + 1; --next) {
         if (!m_closed.contains(next - 2)) {
             generation = next - 2;
--- a/policy/configuration.cpp
+++ b/policy/configuration.cpp
@@ -144,7 +144,7 @@
             const std::string place = "/routes/" + escape_pointer(name);
             check_exists(m_config.services, route.service, place + "/service", "service");
             if (const auto [other, is_new] = prefixes.emplace(route.prefix, name); !is_new) {
-                m_findings.add(place + "/prefix", "is the prefix of route '" + other->second + "' already");
+                m_findings.add(place + "/prefix", "is already the prefix of route '" + other->second + "'");
             }
         }
         std::map<std::int64_t, std::string> orders;
@@ -154,7 +154,7 @@
                 check_exists(m_config.pools, wave.pool, place + "/pool", "pool");
             }
             if (const auto [other, is_new] = orders.emplace(wave.order, name); !is_new) {
-                m_findings.add(place + "/order", "is the order of wave '" + other->second + "' already");
+                m_findings.add(place + "/order", "is already the order of wave '" + other->second + "'");
             }
         }
     }
--- a/policy/fleet.hpp
+++ b/policy/fleet.hpp
@@ -11,15 +11,15 @@
 
 namespace siskinpaddle {
 
-/// Where a VM stands between pools and maintenance. Only `serving` VMs get new work.
+/// State of a VM with regard to pools and maintenance. Only `serving` VMs get new work.
 enum class vm_state : std::uint8_t {
     free,           ///< In no pool.
-    serving,        ///< Takes requests and jobs of its pool.
-    cordoned,       ///< Leaving: entries are being told to send nothing new.
-    draining,       ///< Every entry has stopped sending; work in progress ends.
-    drained,        ///< Nothing of its pool is in progress.
-    in_maintenance, ///< Handed to the platform for its reboot.
-    returning,      ///< Up again; waits for its health check.
+    serving,        ///< Accepts requests and jobs of its pool.
+    cordoned,       ///< Leaving; not all entries have confirmed that they send no new work.
+    draining,       ///< No entry sends new work; work in progress finishes.
+    drained,        ///< No work of its pool is in progress.
+    in_maintenance, ///< Being rebooted by the platform.
+    returning,      ///< Running again; waits for its health check.
     lost            ///< Failed, or no longer listed by the platform.
 };
 
@@ -45,25 +45,26 @@
     std::pair{stop_reason::retire, std::string_view("retire")},
     std::pair{stop_reason::failure, std::string_view("failure")}};
 
-/// One VM. Its single `pool` field is the truth on who owns it, so no VM can be in two pools.
+/// Record of one VM. The single `pool` field determines the pool that it belongs to, so a VM can't be in two
+/// pools.
 struct vm_record {
     std::string id;
     std::string availability_zone;
     std::string rack;
     std::string address;
-    std::uint16_t port = 0;       ///< Where its target takes requests.
-    std::uint16_t agent_port = 0; ///< Where its worker takes task calls.
+    std::uint16_t port = 0;       ///< Port on which its target accepts requests.
+    std::uint16_t agent_port = 0; ///< Port on which its worker accepts task calls.
     std::uint32_t cores = 0;
     std::uint32_t memory_mb = 0;
     std::uint32_t accelerators = 0;
     std::string pool;      ///< Empty when free.
-    std::string next_pool; ///< Where it goes once drained, with `stop_reason::move`.
+    std::string next_pool; ///< Pool that it joins once drained, with `stop_reason::move`.
     vm_state state = vm_state::free;
     stop_reason reason = stop_reason::none;
-    std::uint32_t epoch = 0;          ///< Rises whenever the VM changes pool or is lost.
-    std::uint64_t completed_wave = 0; ///< Order of the last wave that it has finished.
-    std::uint64_t active_wave = 0;    ///< Order of the wave that it is being maintained for.
-    std::uint64_t boot_count = 0;     ///< Boot count when its last reboot was ordered.
+    std::uint32_t epoch = 0; ///< Increases when the VM changes pool, is lost or restarts unexpectedly.
+    std::uint64_t completed_wave = 0; ///< Order of the last wave that it has completed.
+    std::uint64_t active_wave = 0;    ///< Order of the wave that it is being maintained for; 0 for none.
+    std::uint64_t boot_count = 0;     ///< Boot count that was last seen, or when its last reboot was ordered.
     std::uint64_t state_revision = 0; ///< Fleet revision at which it entered `state`.
 
     bool operator==(const vm_record&) const = default;
@@ -75,13 +76,13 @@
     }
 };
 
-/// One registered entry. While it stands here it may be routing, so planned steps wait for it.
+/// One registered entry. A registered entry may be routing requests, so planned steps wait for it.
 struct entry_record {
     std::string id;
     std::string availability_zone;
     std::string address;
     std::uint16_t peer_port = 0;
-    std::string operator_address; ///< Where it answers operators, so that others can pass questions on.
+    std::string operator_address; ///< Address of its operator interface, to which others forward requests.
     std::uint16_t operator_port = 0;
     std::uint64_t incarnation = 0; ///< Distinguishes restarts of the process with this id.
 
@@ -93,12 +94,12 @@
     }
 };
 
-/// The fleet's one record. Entries and VMs share a revision on purpose: a compare-and-swap that finishes a
-/// planned step fails when an entry has registered since the step was judged.
+/// The single record of the fleet. Entries and VMs share one revision so that the compare-and-swap that
+/// finishes a planned step fails when an entry has registered after the step was decided.
 struct fleet_record {
     std::uint64_t revision = 0;
-    std::string write_id;              ///< Of the write that made this revision; settles a lost answer.
-    std::string planner;               ///< Entry that holds the control lease, as far as recorded.
+    std::string write_id; ///< Id of the write of this revision; identifies it if its reply is lost.
+    std::string planner;  ///< Entry that holds the control lease, according to the last write.
     std::vector<entry_record> entries; ///< Sorted by id.
     std::vector<vm_record> vms;        ///< Sorted by id.
 
@@ -113,19 +114,19 @@
     [[nodiscard]] vm_record* find_vm(std::string_view id);
     [[nodiscard]] const entry_record* find_entry(std::string_view id) const;
 
-    /// Inserts or replaces, keeping the order.
+    /// Inserts or replaces a record, keeping the order by id.
     void put_vm(vm_record vm);
     void put_entry(entry_record entry);
     void remove_entry(std::string_view id);
 };
 
-/// What changed between two revisions; the usual transfer between peers.
+/// Changes between two revisions; the usual form of transfer between peers.
 struct fleet_delta {
     std::uint64_t base = 0;
     std::uint64_t revision = 0;
     std::string write_id;
     std::string planner;
-    std::vector<entry_record> entries; ///< All of them; there are few.
+    std::vector<entry_record> entries; ///< All entries, since there are few.
     std::vector<vm_record> changed;
     std::vector<std::string> removed;
 
@@ -137,13 +138,13 @@
 
 [[nodiscard]] fleet_delta make_delta(const fleet_record& base, const fleet_record& next);
 
-/// Applies `delta`. Returns false, leaving `fleet` as it was, unless `fleet` has exactly the delta's base.
+/// Applies `delta`. Returns false and leaves `fleet` unchanged when `fleet` is not at the delta's base.
 [[nodiscard]] bool apply_delta(fleet_record& fleet, const fleet_delta& delta);
 
-/// Binary form of the record (cereal, portable).
+/// Encodes the record in a portable binary form (cereal).
 [[nodiscard]] std::string encode_fleet(const fleet_record& fleet);
 
-/// Reads what `encode_fleet` wrote. Fails with a text error for damaged input.
+/// Decodes the output of `encode_fleet`. Fails with `decode_error` for damaged input.
 [[nodiscard]] boost::leaf::result<fleet_record> decode_fleet(std::string_view bytes);
 
 } // namespace siskinpaddle
--- a/policy/jobs.hpp
+++ b/policy/jobs.hpp
@@ -13,13 +13,13 @@
 enum class job_state : std::uint8_t {
     queued,     ///< Waits for a VM.
     assigned,   ///< Has a VM and an epoch; the task is being started.
-    running,    ///< The worker said that it runs.
-    stopping,   ///< To be checkpointed and stopped, then queued again.
-    cancelling, ///< To be stopped for good.
+    running,    ///< The worker has reported the task as running.
+    stopping,   ///< Is being checkpointed and stopped; queued again afterwards.
+    cancelling, ///< Is being stopped permanently.
     done,
     failed,
     cancelled,
-    parked ///< Can run nowhere now; `reason` says why.
+    parked ///< Can't run on any VM at present; `reason` has the cause.
 };
 
 template <>
@@ -43,7 +43,7 @@
     std::pair{job_urgency::daily, std::string_view("daily")},
     std::pair{job_urgency::patient, std::string_view("patient")}};
 
-/// What a job declares that it needs. Often wrong; see `usage_estimates`.
+/// Resources that a job declares. Declared sizes are often wrong; see `usage_estimates`.
 struct job_size {
     std::uint32_t cpu_millicores = 0;
     std::uint32_t memory_mb = 0;
@@ -57,15 +57,15 @@
     }
 };
 
-/// One job. Its epoch rises with each assignment, so that a worker can tell an old owner's call from a new
-/// one.
+/// One job. Its epoch increases with each assignment, so that a worker can distinguish a previous owner's
+/// call from the current owner's.
 struct job_record {
     std::string id;
     std::string team;
-    std::string kind; ///< Jobs of one kind are alike; their usage is learnt together.
+    std::string kind; ///< Jobs of one kind are similar; their usage is estimated together.
     job_urgency urgency = job_urgency::daily;
     job_size size;
-    job_size used; ///< What its worker reported at its end.
+    job_size used; ///< Usage that its worker reported when it ended.
     std::uint64_t expected_ms = 0;
     job_state state = job_state::queued;
     std::string vm;
@@ -73,8 +73,8 @@
     std::uint32_t epoch = 0;
     std::uint32_t failures = 0;
     std::uint32_t moves = 0;
-    std::string last_vm;   ///< Where it last ran, when it has to start again.
-    std::string failed_on; ///< The last VM at which it failed.
+    std::string last_vm;   ///< VM on which it last ran; set when the job is queued again.
+    std::string failed_on; ///< Last VM on which it failed.
     std::string reason;
 
     bool operator==(const job_record&) const = default;
@@ -86,7 +86,7 @@
     }
 };
 
-/// All jobs of one pool, the value of one key in the store.
+/// All jobs of one pool; the value of one key in the store.
 struct job_table {
     std::uint64_t revision = 0;
     std::vector<job_record> jobs; ///< In order of submission.
@@ -102,16 +102,16 @@
     [[nodiscard]] const job_record* find(std::string_view id) const;
 };
 
-/// Ended jobs that a table keeps, newest first, for callers to ask about.
+/// Number of ended jobs that a table keeps for queries by callers; the oldest are removed first.
 inline constexpr std::size_t max_ended_jobs = 100;
-/// Jobs that a pool's table takes at most; more are refused.
+/// Maximum number of jobs in a pool's table; further jobs are refused.
 inline constexpr std::size_t max_jobs_per_pool = 4'000;
 
 [[nodiscard]] bool has_ended(job_state state);
-/// Whether a task of the job may be running at its VM.
+/// Whether a task of the job may be running on its VM.
 [[nodiscard]] bool may_be_running(job_state state);
 
-/// Drops the oldest ended jobs beyond `kept_ended_jobs`.
+/// Removes the oldest ended jobs beyond `max_ended_jobs`.
 void trim_ended_jobs(job_table& table);
 
 [[nodiscard]] std::string encode_jobs(const job_table& table);
--- a/policy/patch.cpp
+++ b/policy/patch.cpp
@@ -27,7 +27,8 @@
         const auto* old_value = before.get_object().if_contains(key);
         const auto* new_value = after.get_object().if_contains(key);
         const std::string child = path + "/" + escape_pointer(key);
-        // A section that comes or goes counts as its items, for these are what members own.
+        // An added or removed section is reported as changes of its items, because members own items, not
+        // sections.
         static const boost::json::value no_items = boost::json::object();
         if (path.empty() && old_value == nullptr && new_value->is_object()) {
             old_value = &no_items;
@@ -81,7 +82,7 @@
     return service == nullptr ? "" : owner_of_pool(config, service->pool);
 }
 
-/// Owner of the named item of a section, "" where the item does not exist.
+/// Returns the member that owns the named item of a section; "" when the item doesn't exist.
 std::string owner_of(const configuration& config, const std::string& section, const std::string& name) {
     if (section == "pools") {
         return owner_of_pool(config, name);
@@ -188,7 +189,7 @@
     if (owner_before.empty() && owner_after.empty()) {
         return false;
     }
-    // A new pool or a changed promise takes VMs that rivals pay for, so only an admin grants them.
+    // A new pool or a changed size claims VMs that other members pay for, so only an admin may grant them.
     const bool grants_capacity = tokens[0] == "pools" && (tokens.size() < 3 || tokens[2] == "promised" ||
                                                           tokens[2] == "size" || tokens[2] == "member");
     const bool own_before = owner_before.empty() || owner_before == member;
@@ -198,7 +199,7 @@
 
 patch_result apply_patch(const stored_configuration& current, const patch_request& request) {
     for (const accepted_change& change : current.history) {
-        // A repeat whose first answer was lost must neither conflict with itself nor apply twice.
+        // A retry after a lost reply must neither conflict with the first submission nor apply twice.
         if (change.write_id == request.write_id && change.member == request.member) {
             return {patch_verdict::already_accepted, change.number, {}, {}, {}};
         }
--- a/policy/pause_detector.hpp
+++ b/policy/pause_detector.hpp
@@ -4,24 +4,25 @@
 
 namespace siskinpaddle {
 
-/// What an entry may do after a pause.
+/// Whether an entry may route requests after a check for pauses.
 enum class pause_verdict : std::uint8_t {
-    none,             ///< Not paused: route.
-    refresh_required, ///< Paused: refuse until the own registration has been seen in force again.
+    none,             ///< No pause: the entry may route requests.
+    refresh_required, ///< After a pause: refuse requests until the entry's registration is confirmed to be in
+                      ///< force.
 };
 
-/// Notices that the process was stopped for a while: by a signal, a suspended VM or starvation.
+/// Detects that the process was paused: stopped by a signal, on a suspended VM or starved of processor time.
 ///
-/// Guards against routing by knowledge from before the pause. While an entry stands paused, its registration
-/// may have been removed by an operator or with its VM, and VMs may have changed pool since. It shows as a
-/// gap between two readings of the clock that is far longer than the loop's ticks; the guard holds because
-/// every request asks here first, so the gap is seen before anything is sent. Pure; not thread-safe.
+/// Prevents an entry from routing by state from before the pause. During a pause the entry's registration may
+/// be removed by an operator or together with its VM, and VMs may change pool. A pause shows as a gap between
+/// two clock readings that is far longer than the event loop's tick interval. Every routing decision calls
+/// `check` first, so the gap is detected before anything is sent. Pure; not thread-safe.
 class pause_detector {
   public:
-    /// A gap above this counts as a pause. Below the least time in which a registration can be removed.
+    /// A longer gap counts as a pause. Shorter than the minimum time in which a registration can be removed.
     static constexpr milliseconds pause_threshold = 2s;
 
-    /// Reads the clock; call at each tick and before each routing decision.
+    /// Checks the time since the last call. Must be called at each tick and before each routing decision.
     pause_verdict check(timestamp now) noexcept {
         if (m_last_check != timestamp{0} && now - m_last_check > pause_threshold) {
             m_needs_refresh = true;
@@ -30,7 +31,8 @@
         return m_needs_refresh ? pause_verdict::refresh_required : pause_verdict::none;
     }
 
-    /// The own registration was read, after the pause, from the platform or from a peer that isn't paused.
+    /// Ends the refusal of requests. Must be called only when the entry's registration has been read, after
+    /// the pause, from the platform or from a peer that isn't paused.
     void mark_refreshed() noexcept { m_needs_refresh = false; }
 
   private:
--- a/policy/placement.cpp
+++ b/policy/placement.cpp
@@ -13,7 +13,7 @@
 constexpr int min_reports_for_estimate = 3;
 constexpr std::uint32_t max_job_failures = 3;
 
-/// Free room on one VM during a step.
+/// Free capacity of one VM during a placement step.
 struct free_capacity {
     const vm_record* vm = nullptr;
     std::int64_t cpu = 0;
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Follows up on a job whose VM is leaving, lost or no longer the one it was assigned to.
+    /// Updates a job whose VM is leaving, or whose task has ended together with its VM's epoch.
     void follow_up_on_vm(job_record& job) {
         if (!may_be_running(job.state)) {
             return;
@@ -74,7 +74,8 @@
         const vm_record* vm = m_input.fleet.find_vm(job.vm);
         const auto ended = m_input.ended_tasks.find(job.vm);
         if (ended != m_input.ended_tasks.end() && ended->second > job.vm_epoch) {
-            // Its worker has restarted or its lease has certainly run out, so it can't run twice.
+            // The worker has restarted or its lease is confirmed to have expired, so the task can't run
+            // twice.
             const bool cancelling = job.state == job_state::cancelling;
             job.state = cancelling ? job_state::cancelled : job_state::queued;
             record_decision(job, cancelling ? "cancelled with its VM" : "its VM was lost; queued again");
@@ -197,8 +198,9 @@
         }
     }
 
-    /// Whether the job had better wait for the VM that it ran on, which is being maintained or has restarted.
-    /// It ends when the VM serves again, or when the planner gives it up and so takes it out of the pool.
+    /// Whether the job should wait for the VM on which it ran and which is being maintained or has restarted.
+    /// The wait ends when the VM serves again, or when the planner gives the VM up and removes it from the
+    /// pool.
     [[nodiscard]] bool waits_for_last_vm(const job_record& job) const {
         if (!m_input.options.wait_for_last_vm || job.urgency != job_urgency::patient ||
             job.last_vm == job.failed_on) {
@@ -208,8 +210,10 @@
         return vm != nullptr && vm->pool == m_input.pool && vm->state != vm_state::serving;
     }
 
-    /// The fullest VM on which the job fits keeps large gaps for large jobs; racks with fewer tasks of the
-    /// same kind go first, so that one rack's loss hits few of them.
+    /// Finds the best VM for a job. Avoids the VM on which the job last failed, then prefers its last VM,
+    /// then VMs without a pending wave. After these, racks with fewer tasks of the same kind are preferred,
+    /// so that the loss of one rack affects few of them, and then the fullest VM on which the job fits, which
+    /// keeps large free capacity for large jobs.
     free_capacity* find_best_vm(const job_record& job, const job_size& size) {
         std::map<std::string, int> same_kind;
         for (const job_record& other : m_plan.next.jobs) {
@@ -234,8 +238,7 @@
         return best;
     }
 
-    /// Whether the VM's turn in a running wave is still to come: what starts there now would soon have to
-    /// move.
+    /// Whether a running wave has yet to maintain the VM: a job that starts there would soon have to move.
     [[nodiscard]] bool has_pending_wave(const vm_record& vm) const {
         return m_input.options.avoid_pending_wave &&
                std::any_of(m_input.config.waves.begin(), m_input.config.waves.end(), [&vm](const auto& item) {
@@ -257,12 +260,12 @@
         record_decision(job, "assigned epoch=" + std::to_string(job.epoch) + " rack=" + capacity.vm->rack);
     }
 
-    /// Stops the patient job whose leaving frees enough room for the urgent one, if there is one.
+    /// Stops the first patient job that frees enough capacity for the urgent one, if there is any.
     void preempt_for(const job_record& urgent, const job_size& size) {
         const std::string reason = "makes way for " + urgent.id;
         for (const job_record& job : m_plan.next.jobs) {
             if (job.state == job_state::stopping && job.reason == reason) {
-                return; // One is stopping for it already.
+                return; // Another job is already being stopped for it.
             }
         }
         for (job_record& job : m_plan.next.jobs) {
@@ -282,7 +285,7 @@
                 job.state = job_state::stopping;
                 job.reason = reason;
                 record_decision(job, "checkpoint and stop: " + reason);
-                found->second.cpu = found->second.memory = 0; // Its room is spoken for.
+                found->second.cpu = found->second.memory = 0; // Reserved for the urgent job.
                 return;
             }
         }
--- a/policy/planner.cpp
+++ b/policy/planner.cpp
@@ -4,9 +4,9 @@
 
 planner_options planner_options_for(const weight_settings& weights) {
     planner_options options;
-    // A move is paid when a VM that would have come back by itself is replaced. Most restarts are over within
-    // minutes, so ten are always waited for while the promise holds; the dearer moves are beside idle VMs,
-    // the longer.
+    // Replacing a lost VM that would have returned costs an unnecessary move. Most restarts finish within
+    // minutes, so the replacement is delayed by ten minutes as long as the promised VMs are available, unless
+    // moves have no weight. The delay grows with the weight of moves relative to the weight of idle VMs.
     const std::int64_t ratio = weights.moves / std::max<std::int64_t>(1, weights.buffer);
     options.replacement_delay =
         std::clamp<milliseconds>(ratio * 10min, weights.moves == 0 ? 0min : 10min, 60min);
@@ -50,7 +50,7 @@
     return std::move(m_plan);
 }
 
-/// A machine that was lost and given up, and that the platform lists no more, is no part of the fleet.
+/// Removes the VMs that have been lost, belong to no pool and are no longer listed by the platform.
 void planner::pass::remove_lost_vms() {
     std::set<std::string> gone;
     for (const vm_record& vm : m_plan.next.vms) {
@@ -80,7 +80,7 @@
         if (is_removed_by_operator || is_entry_confirmed_gone(entry, m_observations, m_now)) {
             m_plan.next.remove_entry(entry.id);
             m_plan.decisions.push_back({"", "entry " + incarnation + " removed: " +
-                                                (is_removed_by_operator ? "by the operator's word"
+                                                (is_removed_by_operator ? "declared gone by an operator"
                                                                         : "its port refuses connections")});
         }
     }
@@ -132,7 +132,7 @@
     const bool has_rebooted = item.boot_count > vm.boot_count;
     if (vm.state == vm_state::serving && item.state == listing_state::leaving) {
         vm.reason = stop_reason::retire;
-        set_state(vm, vm_state::cordoned, "the platform is taking it away");
+        set_state(vm, vm_state::cordoned, "the platform is withdrawing it");
         return;
     }
     if (!has_rebooted || vm.state == vm_state::in_maintenance || vm.state == vm_state::lost) {
@@ -141,7 +141,7 @@
     if (vm.state == vm_state::serving || vm.state == vm_state::returning) {
         vm.boot_count = item.boot_count;
         ++vm.epoch;
-        set_state(vm, vm_state::returning, "restarted by itself");
+        set_state(vm, vm_state::returning, "restarted without an order");
         return;
     }
     vm.boot_count = item.boot_count;
@@ -160,8 +160,8 @@
         }
     }
     for (const auto& [zone, vms] : suspects) {
-        // When most of a zone fails at once its network or its entries are the likelier fault, and declaring
-        // its VMs lost would throw away the capacity that is left.
+        // When most VMs of a zone fail at the same time, a fault of its network or its entries is more
+        // likely, and marking its VMs as lost would remove capacity that still works.
         const std::int64_t max_suspects = std::max<std::int64_t>(1, serving[zone] / 2);
         if (static_cast<std::int64_t>(vms.size()) > max_suspects) {
             record_wait("zone " + zone, "most of its VMs are suspected; not believed");
--- a/policy/planner_pass.hpp
+++ b/policy/planner_pass.hpp
@@ -8,8 +8,8 @@
 
 namespace siskinpaddle {
 
-/// One pass of the planner over a copy of the fleet record. The order of its parts matters: what is known to
-/// be lost is settled before anything planned is begun.
+/// One pass of the planner over a copy of the fleet record. The order of its parts matters: losses are
+/// recorded before new planned steps are started.
 class planner::pass {
   public:
     pass(planner& parent, const configuration& config, const fleet_record& fleet, const observations& seen,
@@ -20,21 +20,21 @@
   private:
     /// Counts over the VMs of one pool.
     struct pool_counts {
-        std::int64_t held = 0;          ///< In the pool and staying, or on their way to it.
-        std::int64_t awaiting_wave = 0; ///< Whose turn in a running wave is still to come.
+        std::int64_t held = 0;          ///< VMs that stay in the pool or are moving to it.
+        std::int64_t awaiting_wave = 0; ///< VMs that a running wave has yet to take out of service.
     };
 
     [[nodiscard]] const pool_counts& counts_for(const std::string& pool) const;
     void add_to_counts(const vm_record& vm) const;
 
-    // Facts: what has happened to entries and VMs without our doing.
+    // Updates from observed changes of entries and VMs that the planner didn't cause.
     void remove_gone_entries();
     void apply_vm_list();
     void handle_unlisted_vm(vm_record& vm);
     void handle_listed_vm(vm_record& vm, const listed_vm& listed);
     void handle_suspected_vms();
 
-    // Progress of steps begun earlier.
+    // Progress of steps that earlier passes started.
     void advance(vm_record& vm);
     [[nodiscard]] bool return_to_breached_pool(vm_record& vm);
     void advance_cordoned(vm_record& vm);
@@ -84,7 +84,7 @@
     fleet_plan m_plan;
     std::uint64_t m_next_revision;
     bool m_is_list_fresh = false;
-    std::vector<const listed_vm*> m_listed; ///< For each VM of the next record, in its order.
+    std::vector<const listed_vm*> m_listed; ///< Parallel to the VMs of the next record; null when not listed.
     mutable std::map<std::string, pool_counts> m_counts;
     mutable bool m_are_counts_stale = true;
 };
--- a/policy/planner_progress.cpp
+++ b/policy/planner_progress.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// How long a reboot and the health check after it may take before the VM counts as lost.
+/// Maximum time for a reboot, and for the health check after it, before the VM counts as lost.
 constexpr milliseconds maintenance_timeout = 15min;
 
 std::string join(const entry_ids& names) {
@@ -18,7 +18,7 @@
 } // namespace
 
 void planner::pass::advance(vm_record& vm) {
-    // A state that was entered in this very pass is not in the store yet, so nobody can have applied it.
+    // A state that was set in this pass is not in the store yet, so no entry can have applied it.
     if (vm.state_revision == m_next_revision) {
         return;
     }
@@ -41,9 +41,9 @@
     }
 }
 
-/// A VM on its way out goes back into service when failures have meanwhile brought its pool below the
-/// promise: going on would add a planned loss to theirs. It never left its pool, so nobody's right has to end
-/// first.
+/// Returns a leaving VM to service when failures have meanwhile brought its pool below the promised number:
+/// continuing would add a planned loss to the failures. The VM has never left its pool, so no entry has to
+/// confirm anything first.
 bool planner::pass::return_to_breached_pool(vm_record& vm) {
     const bool is_leaving =
         vm.state == vm_state::cordoned || vm.state == vm_state::draining || vm.state == vm_state::drained;
@@ -93,15 +93,16 @@
     if (vm.reason == stop_reason::retire) {
         vm.pool.clear();
         ++vm.epoch;
-        set_state(vm, vm_state::lost, "retired with the platform's leave");
+        set_state(vm, vm_state::lost, "retired: the platform may remove it");
         return;
     }
     if (vm.reason == stop_reason::move) {
         begin_maintenance(vm, vm.next_pool, "moves to " + (vm.next_pool.empty() ? "free" : vm.next_pool));
         return;
     }
-    // A VM that a lent one has replaced becomes free after the wave's last turn: one reboot serves both the
-    // maintenance and the change of owner, and nothing has to be drained twice.
+    // A VM that a lent VM has replaced becomes free after its maintenance when the pool then has more VMs
+    // than its target size. One reboot serves both the maintenance and the change of pool, so no VM is
+    // drained twice.
     const bool is_replaced =
         m_parent.m_options.keep_replacement_vm && count_held_vms(vm.pool) > target_size(vm.pool);
     begin_maintenance(vm, is_replaced ? "" : vm.pool, is_replaced ? "maintained, then free" : "maintained");
@@ -148,8 +149,8 @@
 }
 
 void planner::pass::advance_lost(vm_record& vm) {
-    // A lost VM may be alive and only unseen. Until no entry can send to it and no task lease can be in force
-    // there, it stays in its pool's name, so no rival's work meets it.
+    // A lost VM may still be running but be unreachable. It stays assigned to its pool until no entry can
+    // send to it and no task lease can be in force there, so that no other member's work runs beside its own.
     const entry_ids busy = find_busy_entries(m_fleet, m_observations, vm);
     if (!busy.empty() || count_tasks_on(vm) > 0) {
         if (!vm.pool.empty()) {
--- a/policy/planner_steps.cpp
+++ b/policy/planner_steps.cpp
@@ -32,7 +32,8 @@
     return true;
 }
 
-/// Counts once over all VMs what the steps ask for each pool again and again; enter() makes the counts stale.
+/// Returns the cached counts of a pool. They are computed for all pools in one pass over the VMs, because the
+/// steps query them repeatedly; set_state() invalidates them.
 const planner::pass::pool_counts& planner::pass::counts_for(const std::string& pool) const {
     if (m_are_counts_stale) {
         m_counts.clear();
@@ -106,8 +107,9 @@
     return best;
 }
 
-/// Takes a VM for `receiver` from the pool that has most above its promise. Members share the bill for idle
-/// VMs, so a spare that stands idle in one pool while another is below its promise would be paid for twice.
+/// Moves a VM to `receiver` from the pool that has the most VMs above its promised number. The members share
+/// the cost of idle VMs, so a spare VM that is idle in one pool while another pool is below its promised
+/// number would be paid for twice.
 void planner::pass::lend_spare(const std::string& receiver) {
     std::string lender;
     std::int64_t most = 0;
@@ -140,7 +142,7 @@
     for (const auto& [name, settings] : m_config.pools) {
         const pool_availability& pool = m_plan.pools[name];
         std::int64_t held = count_held_vms(name);
-        // A lost VM that may soon be back keeps its place while the promise holds without it.
+        // A lost VM that may return soon is not replaced while the pool has its promised number without it.
         const std::int64_t expected_back = pool.breached() ? 0 : count_expected_back(name);
         const std::int64_t target = target_size(name);
         if (held < target && held + expected_back >= target) {
@@ -176,7 +178,8 @@
             continue;
         }
         if (!can_take_out_of_service(m_plan.pools[name], 1, 0)) {
-            record_wait("pool " + name, "holds a VM too many but its budget leaves none to take");
+            record_wait("pool " + name,
+                        "has a surplus VM but its budget doesn't allow taking one out of service");
             continue;
         }
         if (vm_record* vm = find_least_loaded_vm(name)) {
@@ -248,7 +251,8 @@
         }
         return;
     }
-    // Empty VMs first: their turn costs no move. Then rack by rack, so that few racks are touched at once.
+    // VMs without tasks come first because their maintenance costs no move. The others are ordered by rack,
+    // so that few racks are affected at the same time.
     if (!m_parent.m_options.first_fit) {
         std::stable_sort(
             candidates.begin(), candidates.end(), [this](const vm_record* a, const vm_record* b) {
--- a/policy/policy.hpp
+++ b/policy/policy.hpp
@@ -1,8 +1,9 @@
 #pragma once
 
-/// Public header of the policy library: every decision of siskinpaddle, as pure functions and small state
-/// machines. Time and randomness come in as arguments and nothing here does I/O, so sessions replay to the
-/// byte. No type is thread-safe; each belongs to one task.
+/// Public header of the policy library: decisions on routing, placement and maintenance, as pure functions
+/// and small state machines. Time and randomness are passed as arguments and nothing here does I/O, so
+/// recorded sessions replay byte for byte. No type is thread-safe; each instance is owned by one task object,
+/// such as `peer_task`.
 
 #include "policy/admission.hpp"
 #include "policy/answers.hpp"
--- a/policy/retry_budget.hpp
+++ b/policy/retry_budget.hpp
@@ -4,11 +4,11 @@
 
 namespace siskinpaddle {
 
-/// Lets retries be at most a fraction of the requests, so that a failing pool isn't flooded by its own
-/// retries. Pure; not thread-safe.
+/// Limits retries to a fraction of the requests, so that retries don't overload a failing pool further. Pure;
+/// not thread-safe.
 class retry_budget {
   public:
-    /// `fraction` of requests may be retried; up to `burst` unused retries are kept.
+    /// Allows retries for `fraction` of the requests; up to `burst` unused retries accumulate.
     explicit retry_budget(double fraction = 0.1, double burst = 10) noexcept
         : m_fraction(fraction), m_burst(burst), m_tokens(burst) {}
 
@@ -16,7 +16,7 @@
 
     [[nodiscard]] bool can_retry() const noexcept { return m_tokens >= 1; }
 
-    /// Precondition: available().
+    /// Deducts one retry. Precondition: can_retry().
     void consume() noexcept { m_tokens -= 1; }
 
   private:
--- a/policy/target_table.cpp
+++ b/policy/target_table.cpp
@@ -10,7 +10,7 @@
 constexpr milliseconds initial_quarantine = 1s;
 constexpr milliseconds max_quarantine = 30s;
 constexpr milliseconds ramp_time = 5s;
-/// Successes at the limit after which this entry allows itself one request more.
+/// Successes at the limit after which this entry raises its limit by one.
 constexpr int successes_to_raise_limit = 4;
 
 } // namespace
@@ -27,7 +27,8 @@
         target& item = m_targets[vm.id];
         const bool is_serving = vm.state == vm_state::serving;
         if (item.vm.empty() || item.epoch != vm.epoch || (is_serving && !item.serving)) {
-            // A VM that returns starts with a clean record, and slowly: its caches are cold.
+            // A returning VM starts without recorded failures, and its load is ramped up because its caches
+            // are cold.
             item.consecutive_failures = 0;
             item.quarantine_count = 0;
             item.quarantined_until = timestamp{0};
@@ -80,7 +81,7 @@
         return item.slots;
     }
     if (item.quarantine_count > 0 && item.consecutive_failures > 0) {
-        return 1; // A target on trial gets one request at a time until one succeeds.
+        return 1; // After a quarantine the target gets one request at a time until one succeeds.
     }
     const milliseconds age = now - item.ramp_start;
     if (age >= ramp_time || pool.ignore_ramp) {
@@ -169,13 +170,14 @@
         }
         return;
     case attempt_result::refused_by_target:
-        // Its slots are shared with other entries, which this entry doesn't see: it takes the refusal as the
-        // sign to use fewer.
+        // Other entries use the target's slots too, and this entry doesn't see their requests. It therefore
+        // lowers its own limit on a refusal.
         item.limit = std::max(1, std::min(item.limit - 1, item.in_flight));
         item.successes_at_limit = 0;
         return;
     case attempt_result::timed_out:
-        // A slow request is weaker evidence than a broken connection, yet a stuck target shows only so.
+        // A timeout is weaker evidence of a fault than a broken connection, but a hung target causes only
+        // timeouts.
     case attempt_result::connect_failed:
     case attempt_result::reset_after_send:
     case attempt_result::incomplete_answer:
--- a/policy/task_reports.cpp
+++ b/policy/task_reports.cpp
@@ -15,8 +15,8 @@
         job.state = job_state::cancelled;
         return;
     }
-    // Stopped at our word, or because its lease ran out or its worker restarted: either way it runs no more
-    // there.
+    // The task was stopped on request, its lease expired or its worker restarted. In each case it no longer
+    // runs there.
     requeue(job);
 }
 
--- a/policy/task_reports.hpp
+++ b/policy/task_reports.hpp
@@ -6,10 +6,10 @@
 
 namespace siskinpaddle {
 
-/// How a task ended or goes on, as its worker said.
+/// Progress or end of a task, as reported by its worker.
 enum class task_result : std::uint8_t { running, done, failed, stopped };
 
-/// One worker's word on one assignment of a job.
+/// A worker's report on one assignment of a job.
 struct task_update {
     std::string job;
     std::uint32_t epoch = 0;
@@ -18,9 +18,9 @@
     job_size used = {};
 };
 
-/// Enters the workers' words into a table. Words on an older epoch are ignored: that assignment has been
-/// given up and its end counted already. Returns whether anything changed, so entering the same words twice
-/// changes nothing. Pure.
+/// Applies workers' reports to a job table. Reports on an older epoch are ignored: the job has been
+/// reassigned and the end of that assignment has already been recorded. Returns whether the table changed;
+/// applying the same reports again changes nothing. Pure.
 bool apply_task_updates(job_table& table, const std::vector<task_update>& updates);
 
 } // namespace siskinpaddle
--- a/policy/worker_health_tracker.hpp
+++ b/policy/worker_health_tracker.hpp
@@ -8,12 +8,12 @@
 
 namespace siskinpaddle {
 
-/// Learns from job tables which workers fail every task they start, and sets them aside for a time that
-/// doubles. Failures of one job again and again speak against the job, so only different jobs count. Pure;
-/// not thread-safe.
+/// Detects from the job tables which workers fail every task they start, and quarantines their VMs for a time
+/// that doubles with each quarantine. Repeated failures of the same job indicate a fault of the job, so only
+/// failures of different jobs count. Pure; not thread-safe.
 class worker_health_tracker {
   public:
-    /// Looks at a newer table of a pool. Returns the VMs that are now set aside for this reason.
+    /// Processes a newer table of a pool. Returns the VMs that are newly quarantined by this update.
     std::vector<std::string> update(const std::string& pool, const job_table& table, timestamp now);
 
     [[nodiscard]] const std::map<std::string, worker_health>& workers() const noexcept { return m_workers; }
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -16,7 +16,7 @@
     return text.str();
 }
 
-/// The script within a golden file: everything but the decisions.
+/// Returns the script in a golden file: all lines except the decisions.
 std::string extract_script(const std::string& golden) {
     std::istringstream lines(golden);
     std::string script;
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("golden sessions") {
+TEST_CASE("sessions reproduce their golden files") {
     int sessions = 0;
     for (const auto& item : std::filesystem::directory_iterator(GOLDEN_FOLDER)) {
         if (item.path().extension() != ".session") {
--- a/tests/golden/session.cpp
+++ b/tests/golden/session.cpp
@@ -166,7 +166,7 @@
         m_fleet_builder.seen.entries[next_word(words)].has_process_ended = true;
     }
 
-    /// A step with the list as it was read last.
+    /// stale-list SECONDS: a planning step without a new read of the VM list.
     void stale_list(std::istringstream& words) {
         m_fleet_builder.now += std::chrono::seconds(next_number(words));
         m_fleet_builder.report_all();
@@ -180,8 +180,8 @@
 
     void new_planner(std::istringstream&) { m_planner = planner(); }
 
-    /// Another planner, whose lease lapsed while it was paused, wakes with the record from before the last
-    /// step and plans on it. Its swap names the store's version of that record, which has gone.
+    /// late-planner: another planner, whose lease expired while it was paused, plans from the record before
+    /// the last step. Its compare-and-swap fails because the store holds a newer version of the record.
     void late_planner(std::istringstream&) {
         planner late;
         const fleet_plan plan =
@@ -256,7 +256,7 @@
         }
     }
 
-    /// request POOL DEADLINE_MS: through admission and routing at the present time.
+    /// request POOL DEADLINE_MS: a request passes admission and routing at the current time.
     void request(std::istringstream& words) {
         const std::string pool = next_word(words);
         const timestamp deadline = m_fleet_builder.now + milliseconds(next_number(words));
@@ -280,7 +280,7 @@
         }
     }
 
-    /// answer VM RESULT: an attempt at the VM ends so.
+    /// answer VM RESULT [repeatable]: an attempt at the VM ends with this result.
     void answer(std::istringstream& words) {
         const std::string at = next_word(words);
         const auto result = value_named<attempt_result>(next_word(words)).value_or(attempt_result::answered);
@@ -307,7 +307,7 @@
         write_output(text);
     }
 
-    /// store NUMBER: the stored configuration is at this number; patch MEMBER AGAINST ID JSON.
+    /// store NUMBER: sets the number of the stored configuration.
     void store(std::istringstream& words) {
         const std::string digits(64, '0');
         m_stored = {
@@ -319,6 +319,7 @@
             {}};
     }
 
+    /// patch MEMBER AGAINST ID JSON: submits a merge patch based on configuration number AGAINST.
     void patch(std::istringstream& words) {
         patch_request request;
         request.member = next_word(words);
--- a/tests/golden/session.hpp
+++ b/tests/golden/session.hpp
@@ -6,9 +6,9 @@
 
 namespace siskinpaddle::tests {
 
-/// Plays a session script against the pure decisions and returns the script with every decision written under
-/// the event that caused it. Events are one a line; lines that begin with '#' are kept as they are. Unknown
-/// events end the session with a line that says so.
+/// Runs a session script against the policy library and returns the script with every decision written below
+/// the event that caused it. Each line has one event; lines that begin with '#' are copied unchanged. An
+/// unknown event ends the session with an error line.
 [[nodiscard]] std::string run_session(const std::string& script);
 
 } // namespace siskinpaddle::tests
--- a/tests/peer/replica_test.cpp
+++ b/tests/peer/replica_test.cpp
@@ -23,9 +23,9 @@
 
 } // namespace
 
-TEST_CASE("values only move to higher revisions, whoever brings them") {
-    // The store comes back from an old copy after an outage, and a peer that slept offers what it still has.
-    // An entry that took either would undo a configuration that an operator was told is in force.
+TEST_CASE("values only change to higher revisions, whatever their source") {
+    // Guards against the loss of a configuration that was reported to an operator as in force. A store that
+    // was restored from an old backup, or a peer that was paused, offers an older value.
     replica r;
     CHECK(r.apply_stored("config", config_bytes(5), 50) == apply_result::applied);
     CHECK(r.apply_stored("config", config_bytes(5), 51) == apply_result::same);
@@ -41,7 +41,7 @@
     CHECK(r.fleet().revision == 3);
 }
 
-TEST_CASE("a peer is answered with deltas as far as they reach") {
+TEST_CASE("a peer gets a delta when its revision is covered, and the complete value otherwise") {
     replica source;
     replica reader;
     for (std::uint64_t revision = 1; revision <= 10; ++revision) {
@@ -69,7 +69,7 @@
     CHECK(new_reader.apply_transfer(whole.values[0]) == apply_result::applied);
 }
 
-TEST_CASE("one live entry of each zone watches the store") {
+TEST_CASE("exactly one entry of each zone that is not silent watches the store") {
     const fleet_record fleet = [] {
         fleet_builder b;
         b.entry("e1").entry("e2").entry("e3", "b").entry("e4", "b");
@@ -92,7 +92,7 @@
     }
 }
 
-TEST_CASE("each VM has one entry in charge, of its own zone while one lives") {
+TEST_CASE("each VM has one responsible entry, in its own zone while the zone has one that is not silent") {
     fleet_builder b;
     b.entry("e1").entry("e2").entry("e3", "b");
     std::map<std::string, int> load;
@@ -103,7 +103,7 @@
         const std::string responsible = find_responsible_entry(b.fleet, vm, {});
         ++load[responsible];
         REQUIRE((responsible == "e1" || responsible == "e2"));
-        // Losing the other entry of the zone moves none of the VMs that it didn't have.
+        // When the other entry of the zone becomes silent, this VM keeps its responsible entry.
         const std::string other = responsible == "e1" ? "e2" : "e1";
         REQUIRE(find_responsible_entry(b.fleet, vm, {other}) == responsible);
         REQUIRE(find_responsible_entry(b.fleet, vm, {"e1", "e2"}) == "e3");
@@ -113,7 +113,7 @@
     CHECK(load["e2"] > 100);
 }
 
-TEST_CASE("a heartbeat's cost doesn't grow with the entries, yet every entry is reached in turn") {
+TEST_CASE("the number of heartbeats per tick is constant, and every entry is reached in turn") {
     fleet_builder b;
     for (int i = 0; i < 140; ++i) {
         b.entry("e" + std::to_string(1000 + i), std::string(1, static_cast<char>('a' + i % 8)));
@@ -134,7 +134,7 @@
     CHECK(reached.size() == 139);
 }
 
-TEST_CASE("messages without the key, of another version or kind, or changed on the way are refused") {
+TEST_CASE("messages with another key, version or kind, or changed in transit, are refused") {
     const std::string key = "a key of more than thirty-two characters";
     const std::string sealed = seal(key, message_kind::heartbeat, "body");
     CHECK(unseal(key, message_kind::heartbeat, sealed) == "body");
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-TEST_CASE("verdicts at the door") {
+TEST_CASE("admission sends, queues or refuses a request by load and deadline") {
     struct row {
         const char* description;
         pool_load load;
@@ -27,8 +27,8 @@
         {"no free slot, time to wait", {8, 8, 10, true}, 1s, s::wait, {}},
         {"no target", {0, 0, 10, false}, 1s, s::refuse, c::no_target},
         {"deadline passed", {8, 3, 10, true}, 0s, s::refuse, c::deadline_too_short},
-        {"can't be over in time", {1, 1, 10, true}, 30ms, s::refuse, c::deadline_too_short},
-        {"no room in the queue", {8, 8, 0, true}, 1s, s::refuse, c::overloaded},
+        {"can't finish before the deadline", {1, 1, 10, true}, 30ms, s::refuse, c::deadline_too_short},
+        {"the queue is full", {8, 8, 0, true}, 1s, s::refuse, c::overloaded},
     };
     for (const row& r : rows) {
         CAPTURE(r.description);
@@ -42,7 +42,7 @@
     }
 }
 
-TEST_CASE("a member's burst takes no other member's share") {
+TEST_CASE("a burst of one member doesn't use another member's share") {
     admission_controller controller(10, true);
     controller.set_member_count(2);
     int admitted = 0;
@@ -61,7 +61,7 @@
           admission_action::wait);
 }
 
-TEST_CASE("what the entry holds is bounded under any load") {
+TEST_CASE("the number of held requests is bounded under any load") {
     admission_controller controller(64, true);
     for (std::uint64_t i = 0; i < 10'000; ++i) {
         (void)controller.admit({i, "p" + std::to_string(i % 7), "m", 60s}, {8, 8, 100'000, true}, 0ms);
@@ -69,7 +69,7 @@
     }
 }
 
-TEST_CASE("the queue gives out requests in order and drops those whose time has passed") {
+TEST_CASE("the queue returns requests in order and removes those whose deadline has passed") {
     admission_controller controller(100, true);
     const pool_load full{8, 8, 10, true};
     REQUIRE(controller.admit(request(1, "m", 100ms), full, 0ms).action == admission_action::wait);
@@ -82,7 +82,7 @@
     CHECK_FALSE(controller.has_waiting("p"));
 }
 
-TEST_CASE("a refusal says when to come back by the queue's pace") {
+TEST_CASE("the Retry-After of a refusal follows the expected wait in the queue") {
     admission_controller controller(10'000, true);
     for (std::uint64_t i = 0; i < 400; ++i) {
         REQUIRE(controller.admit(request(i, "m", 60s), {1, 1, 400, true}, 0ms).action ==
@@ -90,10 +90,10 @@
     }
     const admission_verdict verdict = controller.admit(request(999, "m", 60s), {1, 1, 400, true}, 0ms);
     CHECK(verdict.code == answer_code::overloaded);
-    CHECK(verdict.retry_after_s == 9); // 401 requests of 20 ms one after another.
+    CHECK(verdict.retry_after_s == 9); // 401 requests of 20 ms each, run one at a time.
 }
 
-TEST_CASE("control bytes keep to their rate, single ones go at once") {
+TEST_CASE("control traffic keeps its average rate and single messages are sent immediately") {
     byte_budget budget(1'000, 5'000);
     std::int64_t sent = 0;
     for (timestamp now{0}; now < 100s; now += 10ms) {
@@ -113,7 +113,7 @@
     CHECK(idle_budget.allows(9s));
 }
 
-TEST_CASE("retries stay a fraction of requests") {
+TEST_CASE("retries are limited to a fraction of the requests") {
     retry_budget budget(0.1, 10);
     int retries = 0;
     for (int i = 0; i < 1000; ++i) {
--- a/tests/policy/answers_test.cpp
+++ b/tests/policy/answers_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace siskinpaddle;
 
-TEST_CASE("what follows an attempt") {
+TEST_CASE("the action after an attempt depends on its result and on the attempts before it") {
     struct row {
         attempt_result result;
         bool repeatable;
@@ -26,7 +26,8 @@
         {r::connect_failed, false, false, 1, 5ms, true, s::give_up, c::target_unreachable},
         {r::refused_by_target, false, false, 1, 1s, true, s::retry, {}},
         {r::refused_by_target, false, false, 3, 1s, true, s::give_up, c::target_busy},
-        // Once an attempt may have run the request, a later refusal doesn't make it not-run.
+        // After an attempt that may have run the request, a later refusal doesn't change the outcome to
+        // not-run.
         {r::refused_by_target, true, true, 3, 1s, true, s::give_up, c::target_reset},
         {r::connect_failed, true, true, 3, 1s, true, s::give_up, c::target_reset},
         {r::reset_after_send, false, false, 1, 1s, true, s::give_up, c::target_reset},
@@ -50,7 +51,7 @@
     }
 }
 
-TEST_CASE("not-run is never said after an attempt that may have run") {
+TEST_CASE("not-run is never reported after an attempt that may have run the request") {
     for (int result = 0; result <= static_cast<int>(attempt_result::answer_too_large); ++result) {
         for (const bool repeatable : {false, true}) {
             for (const bool sent_before : {false, true}) {
@@ -71,7 +72,7 @@
     }
 }
 
-TEST_CASE("every own answer has one rule; not-run by load says when to come back") {
+TEST_CASE("every answer code has one rule; exactly those with status 503 set Retry-After") {
     for (int code = 0; code <= static_cast<int>(answer_code::answer_too_large); ++code) {
         const answer_rule& rule = find_answer_rule(static_cast<answer_code>(code));
         CAPTURE(rule.name);
@@ -83,7 +84,7 @@
     CHECK(answer_rules.size() == static_cast<std::size_t>(answer_code::answer_too_large) + 1);
 }
 
-TEST_CASE("methods and routes decide what may be sent twice") {
+TEST_CASE("method and route determine whether a request may be sent twice") {
     struct row {
         repeatable_rule rule;
         const char* method;
--- a/tests/policy/claims_test.cpp
+++ b/tests/policy/claims_test.cpp
@@ -17,19 +17,19 @@
 
 } // namespace
 
-TEST_CASE("what a shard says about a key") {
+TEST_CASE("a shard returns the claim state of a key") {
     struct row {
         const char* description;
         std::vector<claim_entry> lines;
         claim_state expected;
     };
     const std::vector<row> rows{
-        {"never seen", {}, claim_state::free},
+        {"never claimed", {}, claim_state::free},
         {"another key", {line(key_two, 5)}, claim_state::free},
         {"held by this attempt", {line(key_one, 1)}, claim_state::held_by_attempt},
         {"held by another attempt", {line(key_one, 2)}, claim_state::held_by_other},
-        {"given back", {line(key_one, 2), line(key_one, 2, true)}, claim_state::free},
-        {"given back and taken again",
+        {"released", {line(key_one, 2), line(key_one, 2, true)}, claim_state::free},
+        {"released and claimed again",
          {line(key_one, 2), line(key_one, 2, true), line(key_one, 3)},
          claim_state::held_by_other},
     };
@@ -48,9 +48,10 @@
     }
 }
 
-TEST_CASE("two entries claim one key: the swap lets one through and the other reads it") {
-    // A caller's entry dies after sending, and the caller repeats through another. Both build their line on
-    // the same version; the store takes one swap. The loser reads the winner's line and must refuse.
+TEST_CASE("when two entries claim one key, one swap succeeds and the other entry reads the claim") {
+    // Guards against a request that is sent twice: its entry fails after sending, and the caller retries
+    // through another entry. Both entries build on the same version; the store accepts one swap. The other
+    // entry must refuse.
     claim_shard first;
     claim_shard second;
     first.set_open({}, 7);
@@ -61,10 +62,11 @@
     second.set_open(stored, 8);
     CHECK(second.check_claim(key_one, 2) == claim_state::held_by_other);
     first.set_open(stored, 8);
-    CHECK(first.check_claim(key_one, 1) == claim_state::held_by_attempt); // Also after its answer was lost.
+    CHECK(first.check_claim(key_one, 1) ==
+          claim_state::held_by_attempt); // Holds also when the store's reply was lost.
 }
 
-TEST_CASE("no line is lost when generations roll") {
+TEST_CASE("no line is lost when a new generation begins") {
     claim_shard shard;
     std::vector<std::pair<std::uint64_t, std::vector<claim_entry>>> closed;
     std::uint64_t version = 0;
@@ -93,7 +95,7 @@
     CHECK(new_copy.line_count() == 1000);
 }
 
-TEST_CASE("claims are forgotten only after the window") {
+TEST_CASE("claims are removed only after the retention time") {
     claim_shard shard;
     shard.set_open({5, {}, {}}, 1);
     shard.add_closed(3, {line(key_one, 1)}, 1s);
@@ -105,7 +107,7 @@
     CHECK_FALSE(shard.find_missing_generation(generation));
 }
 
-TEST_CASE("keys of two pools never meet") {
+TEST_CASE("claim keys of different pools are distinct") {
     CHECK(make_claim_key("p", "k") != make_claim_key("q", "k"));
     CHECK(make_claim_key("p", "qk") != make_claim_key("pq", "k"));
 }
--- a/tests/policy/fleet_builder.hpp
+++ b/tests/policy/fleet_builder.hpp
@@ -7,7 +7,8 @@
 
 namespace siskinpaddle::tests {
 
-/// Builds small fleets for policy tests: VMs that serve, entries that have applied everything, a fresh list.
+/// Builds small fleets for policy tests: VMs are serving, entries have applied everything, the list is
+/// recent.
 struct fleet_builder {
     configuration config;
     fleet_record fleet;
@@ -60,7 +61,7 @@
         return *this;
     }
 
-    /// The entry's heartbeat arrives: it has applied the present revision.
+    /// Records a heartbeat of the entry that reports the current revision as applied.
     void report(const std::string& id) {
         entry_report& item = seen.entries[id];
         item.incarnation = 7;
@@ -89,7 +90,8 @@
         seen.listed_vms[id] = item;
     }
 
-    /// One planning step `later` milliseconds on, with a fresh list; takes over what it decided.
+    /// Runs one planning step `later` milliseconds after the last one, with a newly read list, and applies
+    /// the plan.
     fleet_plan step(planner& planning, milliseconds later = 1s) {
         now += later;
         seen.list_read_at = now;
@@ -100,7 +102,8 @@
         return plan;
     }
 
-    /// The platform carries out the reboots, all entries report, and returning VMs pass their check.
+    /// Simulates the plan's completion: the platform performs the reboots, all entries report, and returning
+    /// VMs pass their health check.
     void complete_actions(const fleet_plan& plan) {
         for (const reboot_action& action : plan.reboots) {
             seen.listed_vms[action.vm].boot_count = fleet.find_vm(action.vm)->boot_count + 1;
@@ -116,7 +119,7 @@
         report_all();
     }
 
-    /// Steps and settles `count` times, or until nothing changes any more.
+    /// Runs `count` planning steps and completes the actions of each.
     void run(planner& planning, int count = 60) {
         for (int i = 0; i < count; ++i) {
             complete_actions(step(planning));
--- a/tests/policy/fleet_test.cpp
+++ b/tests/policy/fleet_test.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-TEST_CASE("a fleet record survives its binary form; damage is refused") {
+TEST_CASE("a fleet record is unchanged after encoding and decoding; damaged input is refused") {
     fleet_builder b;
     b.entry("e1").vm("w1", "p").vm("w2", "");
     const std::string bytes = encode_fleet(b.fleet);
@@ -33,11 +33,11 @@
     }
     CHECK(is_refused(bytes + "x"));
     std::string oversized = bytes;
-    std::fill(oversized.begin() + 8, oversized.begin() + 16, '\xff'); // The length of the write id.
+    std::fill(oversized.begin() + 8, oversized.begin() + 16, '\xff'); // Length field of the write id.
     CHECK(is_refused(oversized));
 }
 
-TEST_CASE("a delta carries a record from its base, and from no other revision") {
+TEST_CASE("a delta applies to its base revision and to no other") {
     fleet_builder b;
     b.entry("e1").vm("w1", "p").vm("w2", "p").vm("w3", "q");
     fleet_record next = b.fleet;
--- a/tests/policy/patch_test.cpp
+++ b/tests/policy/patch_test.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("verdicts on patches") {
+TEST_CASE("a patch is accepted or refused by its base number, its author and its result") {
     struct row {
         const char* member;
         std::uint64_t against;
@@ -44,9 +44,9 @@
         {"kuld", 4, "w5", R"({"pools":{"k":{"max_queue":7}}})", v::accepted, 5},
         {"kuld", 4, "w5", R"({"waves":{"w":{"pool":"k","order":1}}})", v::accepted, 5},
         {"admin", 4, "w5", R"({"pools":{"h":{"promised":2}}})", v::accepted, 5},
-        // The first answer was lost; the operator submits again and gets the number that it already has.
+        // A retry after a lost reply returns the number that the patch already has.
         {"kuld", 3, "w4", R"({"pools":{"k":{"slots":9}}})", v::already_accepted, 4},
-        // Another member's write id doesn't count as one's own.
+        // The write id of another member's patch doesn't identify a retry.
         {"hobe", 3, "w4", R"({"pools":{"h":{"slots":9}}})", v::conflict, 4},
         {"kuld", 3, "w5", R"({"pools":{"k":{"max_queue":7}}})", v::conflict, 4},
         {"kuld", 9, "w5", R"({"pools":{"k":{"max_queue":7}}})", v::conflict, 4},
@@ -77,7 +77,7 @@
     }
 }
 
-TEST_CASE("a refused patch names everything that is wrong and where") {
+TEST_CASE("a refused patch reports every finding with its JSON pointer") {
     const patch_result result =
         submit("admin", 4, "w5",
                R"({"pools":{"k":{"slots":0,"x":1},"n":{"member":"nobody"}},"routes":{"kr":{"prefix":"k"}}})");
@@ -93,7 +93,7 @@
     }
 }
 
-TEST_CASE("a conflict names what has changed since the patch's number") {
+TEST_CASE("a conflict reports the paths that have changed since the patch's base number") {
     CHECK(submit("kuld", 3, "x", R"({"pools":{}})").changed_paths ==
           std::vector<std::string>{"/pools/k/slots"});
     CHECK(submit("kuld", 2, "x", R"({"pools":{}})").changed_paths ==
@@ -120,7 +120,7 @@
     }
 }
 
-TEST_CASE("the stored value survives its text form, and damage is reported") {
+TEST_CASE("the stored value is unchanged after encoding and decoding; damage is reported") {
     findings problems;
     const stored_configuration copy =
         decode_stored_configuration(encode_stored_configuration(stored()), problems);
--- a/tests/policy/placement_test.cpp
+++ b/tests/policy/placement_test.cpp
@@ -60,11 +60,11 @@
     for (const job_record& job : j.table.jobs) {
         CHECK(job.vm != "w9");
     }
-    CHECK_FALSE(j.place()); // Nothing new, nothing decided again.
+    CHECK_FALSE(j.place()); // Without changes, no decision is repeated.
     CHECK(j.decisions.empty());
 }
 
-TEST_CASE("a job that can run nowhere is parked with its reason and not tried again") {
+TEST_CASE("a job that fits no VM is parked with its reason until a VM is large enough") {
     placement_fixture j;
     j.add("big", 90'000);
     j.place();
@@ -78,7 +78,7 @@
     CHECK(j.job("big").state == job_state::assigned);
 }
 
-TEST_CASE("urgent jobs go first, and a patient one makes way") {
+TEST_CASE("one patient job is stopped for an urgent job that fits on no VM") {
     placement_fixture j;
     j.add("sweep1", 30'000, job_urgency::patient);
     j.add("sweep2", 30'000, job_urgency::patient);
@@ -91,7 +91,7 @@
     const bool exactly_one_stops =
         (j.job("sweep1").state == job_state::stopping) != (j.job("sweep2").state == job_state::stopping);
     CHECK(exactly_one_stops);
-    CHECK_FALSE(j.place()); // Waiting for the stop: no second sweep is stopped for the same job.
+    CHECK_FALSE(j.place()); // No second patient job is stopped for the same urgent job.
     job_record& stopped = j.job("sweep1").state == job_state::stopping ? j.job("sweep1") : j.job("sweep2");
     const std::string vm = stopped.vm;
     REQUIRE(apply_task_updates(j.table, {{stopped.id, stopped.epoch, task_result::stopped, vm}}));
@@ -100,9 +100,9 @@
     CHECK(j.job("quick").vm == vm);
 }
 
-TEST_CASE("jobs on a leaving VM") {
-    // A wave cordons w1. Its sweep is checkpointed and moves; its digest, nearly over, is left to finish
-    // there.
+TEST_CASE("on a leaving VM a patient job is stopped and a daily job finishes") {
+    // A wave cordons w1. The patient job is stopped at a checkpoint so that it can move; the daily job is
+    // shorter and keeps running.
     placement_fixture j;
     j.add("sweep", 1'000, job_urgency::patient);
     j.add("digest", 1'000, job_urgency::daily);
@@ -118,9 +118,10 @@
     CHECK(j.job("digest").state == job_state::running);
 }
 
-TEST_CASE("a job is given away only once its task has certainly ended") {
-    // w1 is lost, perhaps only cut off, and may still run the bill. Until its lease has run out everywhere
-    // the job stays with it; a second copy would bill a customer twice.
+TEST_CASE("a job is reassigned only when its task is confirmed to have ended") {
+    // Guards against two runs of one task, here a bill that would be charged twice. The VM is lost but may
+    // only be partitioned and still run the task, so the job stays assigned to it until the lease has
+    // expired.
     placement_fixture j;
     j.add("bill", 1'000);
     j.place();
@@ -139,9 +140,9 @@
     CHECK(j.job("bill").epoch == 2);
 }
 
-TEST_CASE("a sweep waits for its own VM where moves weigh most, a digest does not") {
-    // A VM restarts and is back in minutes. Moved, the sweep would start elsewhere; left alone it goes on
-    // where it was.
+TEST_CASE("a patient job waits for its last VM when moves outweigh idle VMs; a daily job does not") {
+    // A VM restarts and returns within minutes. The patient job can continue there from its last state; on
+    // another VM it would have to start again.
     placement_fixture j;
     j.options = placement_options_for({1, 4});
     j.add("sweep", 1'000, job_urgency::patient);
@@ -167,7 +168,7 @@
     CHECK(j.job("sweep").epoch == 2);
 }
 
-TEST_CASE("a held sweep moves when its VM is given up") {
+TEST_CASE("a patient job that waits for its last VM moves when the VM leaves the pool") {
     placement_fixture j;
     j.options = placement_options_for({1, 4});
     job_record& sweep = j.add("sweep", 1'000, job_urgency::patient);
@@ -181,7 +182,7 @@
     CHECK(j.job("sweep").moves == 1);
 }
 
-TEST_CASE("a worker's word on an older epoch is ignored") {
+TEST_CASE("a worker's report on an older epoch is ignored") {
     placement_fixture j;
     j.add("bill", 1'000);
     j.place();
@@ -195,7 +196,7 @@
     CHECK(j.job("bill").state == job_state::done);
 }
 
-TEST_CASE("quotas hold over a team's running jobs") {
+TEST_CASE("a team's running jobs stay within its quota") {
     placement_fixture j;
     j.b.config.teams["t"].cpu_millicores = 5'000;
     j.add("j1", 3'000);
@@ -207,7 +208,7 @@
     CHECK(j.job("j3").state == job_state::assigned);
 }
 
-TEST_CASE("learnt usage replaces declared sizes") {
+TEST_CASE("estimated usage replaces declared sizes") {
     placement_fixture j;
     job_record& job = j.add("j1", 31'000);
     job.kind = "digest";
@@ -229,11 +230,11 @@
                                  {{running.id, running.epoch, task_result::done, "w1", {2'000, 10, 0}}});
     }
     j.usage.update_from_table("p", j.table);
-    j.usage.update_from_table("p", j.table); // Looking twice counts once.
+    j.usage.update_from_table("p", j.table); // A second call with the same table counts no job again.
     CHECK(j.usage.planned_size(next).cpu_millicores == 2'400);
 }
 
-TEST_CASE("a worker that fails every task is set aside, a job that fails everywhere ends") {
+TEST_CASE("a VM on which every task fails is quarantined; a job that fails repeatedly ends as failed") {
     placement_fixture j;
     worker_health_tracker tracker;
     std::vector<std::string> quarantined;
@@ -255,7 +256,7 @@
     CHECK(j.job("broken").state == job_state::failed);
 }
 
-TEST_CASE("a wave of cancellations ends every job, wherever it stands") {
+TEST_CASE("mass cancellation ends every job in any state") {
     placement_fixture j;
     for (int i = 0; i < 50; ++i) {
         j.add("j" + std::to_string(i), 1'000);
--- a/tests/policy/planner_test.cpp
+++ b/tests/policy/planner_test.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("a wave maintains every VM of its pool once and keeps the promise at each step") {
+TEST_CASE("a wave maintains every VM of its pool once and keeps the promised VMs serving at each step") {
     fleet_builder b = two_pools();
     b.wave("spring", "p", 1, 2);
     planner planning;
@@ -44,10 +44,9 @@
     CHECK(b.fleet.find_vm("w4")->completed_wave == 0);
 }
 
-TEST_CASE("an entry that has not applied the cordon holds the drain up") {
-    // A wave takes w1 out. Entry e2 is slow: its heartbeats come, but it still sends by its old record, so a
-    // caller's request would be cut if the VM were rebooted now. The VM stays cordoned, and status names e2,
-    // until e2 reports.
+TEST_CASE("a VM stays cordoned until every entry has applied the cordon") {
+    // Guards against a reboot that aborts a caller's request. Entry e2 sends heartbeats but still routes by
+    // an older record, so w1 stays cordoned, and the wait names e2, until e2 reports the revision as applied.
     fleet_builder b = two_pools();
     b.wave("spring", "p", 1, 1);
     planner planning;
@@ -66,9 +65,9 @@
     CHECK(b.state("w1") == vm_state::draining);
 }
 
-TEST_CASE("a request in progress holds the reboot up, past the bound too") {
-    // A long request still runs at w1 when its wave's drain bound passes. Cutting it would lose a
-    // confirmation; the planner names the drain as overdue and goes on waiting.
+TEST_CASE("a request in progress delays the reboot, even beyond the drain bound") {
+    // Guards against a lost confirmation of a request that is aborted. A long request still runs on w1 when
+    // the wave's drain bound passes; the planner reports the drain as overdue and keeps waiting.
     fleet_builder b = two_pools();
     b.wave("spring", "p", 1, 1);
     planner planning;
@@ -89,7 +88,7 @@
     CHECK(b.state("w1") == vm_state::drained);
 }
 
-TEST_CASE("a silent entry is dropped only on proof") {
+TEST_CASE("a silent entry is removed only when it is confirmed to have ended") {
     struct row {
         const char* description;
         bool refused;
@@ -99,11 +98,11 @@
         bool dropped;
     };
     const std::vector<row> rows{
-        {"cut off: its probes time out", false, 60s, 7, false, false},
-        {"killed: its port refuses", true, 4s, 7, false, true},
-        {"killed a moment ago", true, 1s, 7, false, false},
-        {"the proof is about an earlier incarnation", true, 60s, 6, false, false},
-        {"an operator says so", false, 60s, 7, true, true},
+        {"partitioned: probes time out", false, 60s, 7, false, false},
+        {"killed: its port refuses connections", true, 4s, 7, false, true},
+        {"killed less than the silence timeout ago", true, 1s, 7, false, false},
+        {"the refusal concerns an earlier incarnation", true, 60s, 6, false, false},
+        {"removed by an operator", false, 60s, 7, true, true},
     };
     for (const row& r : rows) {
         CAPTURE(r.description);
@@ -123,7 +122,7 @@
     }
 }
 
-TEST_CASE("planned steps count every VM that is not known to be available as unavailable") {
+TEST_CASE("planned steps treat every VM that is not known to be available as unavailable") {
     struct row {
         const char* description;
         void (*add_doubt)(fleet_builder&);
@@ -134,7 +133,7 @@
         {"a VM is leaving", [](fleet_builder& b) { b.seen.listed_vms["w3"].state = listing_state::leaving; }},
         {"a zone is silent",
          [](fleet_builder& b) { b.seen.entries["e2"].received_at = timestamp{0} - 1min; }},
-        {"a VM restarted by itself", [](fleet_builder& b) { b.seen.listed_vms["w3"].boot_count = 5; }},
+        {"a VM restarted without an order", [](fleet_builder& b) { b.seen.listed_vms["w3"].boot_count = 5; }},
     };
     for (const row& r : rows) {
         CAPTURE(r.description);
@@ -150,7 +149,7 @@
     }
 }
 
-TEST_CASE("a stale VM list stops planned steps but not the progress of those begun") {
+TEST_CASE("a stale VM list stops new planned steps but not the progress of started ones") {
     fleet_builder b = two_pools();
     b.wave("spring", "p", 1, 1);
     planner planning;
@@ -174,13 +173,14 @@
         REQUIRE(count_serving(b, "p") >= 2);
     }
     CHECK(b.fleet.find_vm("w1")->completed_wave == 2);
-    // Pool q promises its only VM and nothing is free to lend: its turn waits for ever and says so.
+    // Pool q promises its only VM and no free VM can replace it, so its maintenance waits and the reason is
+    // reported.
     const fleet_plan plan = b.step(planning);
     CHECK(has_wait(plan, "wave kernel", "budget of pool q: 1 available, 1 promised"));
     CHECK(b.fleet.find_vm("w4")->completed_wave == 0);
 }
 
-TEST_CASE("a free VM is lent so that a pool without spare can be maintained") {
+TEST_CASE("a free VM is lent to a pool without spare VMs so that the pool can be maintained") {
     fleet_builder b = two_pools();
     b.vm("w5", "").wave("spring", "q", 1, 1);
     planner planning;
@@ -194,16 +194,17 @@
                         [](const auto& vm) { return vm.state == vm_state::free; }) == 1);
 }
 
-TEST_CASE("a failure in the middle of a wave stops the next turn, and the wave resumes by itself") {
-    // w1 is out for the wave when w2's machine dies, which would leave only w3 of a promise of two. w1 goes
-    // back into service at once, so the promise holds all the while; when w2 is replaced the wave goes on.
+TEST_CASE("a failure during a wave pauses the wave, which resumes after the replacement") {
+    // Guards against a pool below its promised two VMs: w1 is out of service for the wave when w2 fails,
+    // which would leave only w3. w1 returns to service immediately, and the wave continues when w2 is
+    // replaced.
     fleet_builder b = two_pools();
     b.vm("w5", "", "a", "r5").wave("spring", "p", 1, 1);
     planner planning;
     b.complete_actions(b.step(planning));
     REQUIRE(b.state("w1") == vm_state::cordoned);
     b.seen.listed_vms.erase("w2");
-    for (int i = 0; i < 900; ++i) { // Longer than the patience with a lost VM.
+    for (int i = 0; i < 900; ++i) { // Longer than the replacement delay of a lost VM.
         const fleet_plan plan = b.step(planning);
         REQUIRE_FALSE(plan.pools.at("p").breached());
         for (const vm_record& vm : b.fleet.vms) {
@@ -218,7 +219,7 @@
     CHECK(count_serving(b, "p") == 3);
 }
 
-TEST_CASE("a breach by failures alone is reported and no planned step adds to it") {
+TEST_CASE("a breach caused by failures is reported and no planned step increases it") {
     fleet_builder b = two_pools();
     b.wave("spring", "*", 1, 3);
     b.seen.entries["e1"].suspect_vms = {"w2", "w3"};
@@ -233,13 +234,13 @@
     }
 }
 
-TEST_CASE("a VM that does not come back from its reboot is lost and replaced") {
+TEST_CASE("a VM that does not return from its reboot is marked lost and replaced") {
     fleet_builder b = two_pools();
     b.vm("w5", "").wave("spring", "p", 1, 1);
     planner planning;
     for (int i = 0; i < 6; ++i) {
         b.step(planning);
-        b.report_all(); // The platform never carries the reboot out.
+        b.report_all(); // The platform never performs the reboot.
     }
     REQUIRE(b.state("w1") == vm_state::in_maintenance);
     b.seen.listed_vms.erase("w1");
@@ -249,9 +250,9 @@
     CHECK(count_serving(b, "p") == 3);
 }
 
-TEST_CASE("a lost VM keeps its pool until nobody can send to it") {
-    // The list drops w2 although it is alive behind a cut. Were it given to pool q at once, an entry with an
-    // old record would send a carrier's request to its rival's VM.
+TEST_CASE("a lost VM keeps its pool until no entry can send to it") {
+    // Guards against a request that reaches a VM of another member. The list drops w2 although it still runs
+    // in a partition. If w2 joined pool q immediately, an entry with an older record would still send to it.
     fleet_builder b = two_pools();
     planner_options options;
     options.replacement_delay = 0ms;
@@ -276,7 +277,7 @@
     CHECK(b.pool_of("w2").empty());
 }
 
-TEST_CASE("a VM moves by drain, reboot and health check, and its epoch rises") {
+TEST_CASE("a VM moves to another pool by drain, reboot and health check, and its epoch increases") {
     fleet_builder b = two_pools();
     b.config.pools["p"].size = 2;
     b.config.pools["q"].size = 2;
@@ -295,9 +296,9 @@
     CHECK(b.fleet.find_vm("w1")->epoch == epoch + 1);
 }
 
-TEST_CASE("most of a zone suspected at once is not believed") {
-    // The zone's switch fails for its entries only: they can reach none of its targets. Declaring all of them
-    // lost would throw the zone's capacity away.
+TEST_CASE("VMs are not marked lost when most of their zone is suspected at the same time") {
+    // Guards against the loss of a whole zone's capacity: a network fault in the zone prevents its entries
+    // from reaching its targets, although the VMs still run.
     fleet_builder b;
     b.pool("p", 1, 4).entry("e1").entry("e2", "b");
     for (const char* id : {"w1", "w2", "w3", "w4"}) {
@@ -313,7 +314,7 @@
     CHECK(b.state("w2") == vm_state::lost);
 }
 
-TEST_CASE("a budget raised during a wave stops the next turn") {
+TEST_CASE("a promised number that is raised during a wave pauses the wave") {
     fleet_builder b = two_pools();
     b.wave("spring", "p", 1, 1);
     planner planning;
@@ -321,7 +322,7 @@
     REQUIRE(b.state("w1") == vm_state::cordoned);
     b.config.pools["p"].promised = 3;
     b.run(planning);
-    CHECK(b.fleet.find_vm("w1")->completed_wave == 0); // Back in service before its turn was over.
+    CHECK(b.fleet.find_vm("w1")->completed_wave == 0); // Returned to service before its maintenance.
     CHECK(b.fleet.find_vm("w2")->completed_wave == 0);
     CHECK(count_serving(b, "p") == 3);
     b.config.pools["p"].promised = 2;
@@ -330,7 +331,7 @@
     CHECK(b.fleet.find_vm("w2")->completed_wave == 1);
 }
 
-TEST_CASE("the same session gives the same plan, to the byte") {
+TEST_CASE("the same session gives the same fleet record, byte for byte") {
     std::string first;
     for (int run = 0; run < 2; ++run) {
         fleet_builder b = two_pools();
@@ -345,9 +346,9 @@
     }
 }
 
-TEST_CASE("a VM on its way out goes back when failures break the promise without it") {
-    // w1 is drained for its wave when w2 and w3 fall ill at once. Rebooting w1 now would add a planned loss
-    // to theirs.
+TEST_CASE("a leaving VM returns to service when failures bring its pool below the promised number") {
+    // Guards against a planned loss in addition to failures: w1 is draining for its wave when another VM of
+    // its pool becomes suspect.
     fleet_builder b = two_pools();
     b.wave("spring", "p", 1, 1);
     planner planning;
--- a/tests/policy/routing_test.cpp
+++ b/tests/policy/routing_test.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-TEST_CASE("the own zone goes first, others when it is full or tried") {
+TEST_CASE("targets in the own zone are preferred; others are used when these are full or tried") {
     routing_fixture r;
     for (int i = 0; i < 16; ++i) {
         const std::string vm = r.choose();
@@ -46,7 +46,7 @@
     CHECK(r.choose({"w1", "w2", "w3"}).empty());
 }
 
-TEST_CASE("a target that leaves gets nothing new, and is reported busy until its last request ends") {
+TEST_CASE("a leaving target gets no new requests and is reported busy until its last request ends") {
     routing_fixture r;
     r.targets.on_sent("w1");
     const auto choice = r.targets.choose("p", {"w2", "w3"}, r.b.now, r.random);
@@ -62,8 +62,9 @@
     CHECK(r.targets.busy_vms().empty());
 }
 
-TEST_CASE("a choice made before a VM changed hands is not valid after it") {
-    // A request waits for its claim while its VM is drained, given to a rival and serves there again.
+TEST_CASE("a choice made before a VM changed pool is not valid afterwards") {
+    // Guards against a request that reaches another member's VM: while the request waits for its claim, the
+    // VM is drained, moved to another pool and serves again.
     routing_fixture r;
     const auto choice = r.targets.choose("p", {"w2", "w3"}, r.b.now, r.random);
     vm_record& vm = *r.b.fleet.find_vm("w1");
@@ -72,14 +73,14 @@
     r.apply();
     CHECK_FALSE(r.targets.is_still_valid(*choice, "p"));
     CHECK_FALSE(r.targets.is_still_valid(*choice, "q"));
-    // Back in its first pool it is another service's instance all the same.
+    // Back in its first pool, the VM runs another instance, so the choice stays invalid.
     vm.pool = "p";
     ++vm.epoch;
     r.apply();
     CHECK_FALSE(r.targets.is_still_valid(*choice, "p"));
 }
 
-TEST_CASE("a failing target is set aside, tried again and taken back") {
+TEST_CASE("a failing target is quarantined, retried and used again") {
     routing_fixture r;
     r.fail("w1", 3);
     CHECK(r.targets.suspect_vms() == std::set<std::string>{"w1"});
@@ -91,13 +92,13 @@
     CHECK(r.choose({"w2"}) == "w1");
     r.targets.on_sent("w1");
     for (int i = 0; i < 40; ++i) {
-        CHECK(r.choose() != "w1"); // One request at a time while on trial.
+        CHECK(r.choose() != "w1"); // After its quarantine it gets one request at a time.
     }
     r.targets.on_finished("w1", attempt_result::answered, r.b.now);
     CHECK(r.targets.suspect_vms().empty());
 }
 
-TEST_CASE("with most targets failing none is set aside: the rest would drown") {
+TEST_CASE("quarantine is ignored when most targets fail, so that the others are not overloaded") {
     routing_fixture r;
     r.fail("w1", 3);
     r.fail("w2", 3);
@@ -108,14 +109,14 @@
     CHECK(chosen == std::set<std::string>{"w1", "w2"});
 }
 
-TEST_CASE("refusals shrink this entry's share of a target, success at the limit grows it") {
+TEST_CASE("refusals lower an entry's limit for a target; successes at the limit raise it") {
     routing_fixture r;
     const auto limit = [&] { return r.targets.capacity("p", r.b.now); };
     const std::int64_t before = limit();
     r.targets.on_sent("w1");
     r.targets.on_sent("w1");
     r.targets.on_finished("w1", attempt_result::refused_by_target, r.b.now);
-    CHECK(limit() == before - 7); // Another entry holds the slots: only what is in flight now is allowed on.
+    CHECK(limit() == before - 7); // The limit drops to the number of requests in flight.
     for (int i = 0; i < 4; ++i) {
         r.targets.on_finished("w1", attempt_result::answered, r.b.now);
         r.targets.on_sent("w1");
@@ -123,7 +124,7 @@
     CHECK(limit() == before - 6);
 }
 
-TEST_CASE("a returning target starts slowly") {
+TEST_CASE("the load of a returning target is ramped up") {
     routing_fixture r;
     vm_record& vm = *r.b.fleet.find_vm("w1");
     vm.state = vm_state::in_maintenance;
@@ -139,9 +140,9 @@
     CHECK(whole == 24);
 }
 
-TEST_CASE("a pause is noticed before anything is sent") {
-    // The process is stopped for a minute while its registration is removed and a VM changes hands. Its first
-    // request after waking must not be routed by the old record.
+TEST_CASE("a pause is detected before anything is sent") {
+    // Guards against routing by an outdated record: the process is stopped for a minute, during which its
+    // registration is removed and a VM changes pool.
     pause_detector detector;
     CHECK(detector.check(1s) == pause_verdict::none);
     CHECK(detector.check(2s) == pause_verdict::none);
@@ -151,7 +152,7 @@
     CHECK(detector.check(63s) == pause_verdict::none);
 }
 
-TEST_CASE("the longest route on a segment border wins") {
+TEST_CASE("the route with the longest prefix that matches at a segment boundary is chosen") {
     configuration config;
     config.routes["a"] = {"/a", "sa", repeatable_rule::no, 1s};
     config.routes["ab"] = {"/a/b", "sb", repeatable_rule::no, 1s};
