--- a/policy/entry_checks.hpp
+++ b/policy/entry_checks.hpp
@@ -19,8 +19,8 @@
 [[nodiscard]] entry_ids find_entries_behind(const fleet_record& fleet, const observations& seen,
                                             std::uint64_t revision);
 
-/// Returns the registered entries that have requests in progress at `vm` or whose report doesn't exclude it.
-/// Pure.
+/// Returns the registered entries that have requests in progress at `vm`, or whose latest report doesn't
+/// exclude this. Pure.
 [[nodiscard]] entry_ids find_busy_entries(const fleet_record& fleet, const observations& seen,
                                           const vm_record& vm);
 
--- a/tests/peer/replica_test.cpp
+++ b/tests/peer/replica_test.cpp
@@ -113,7 +113,7 @@
     CHECK(load["e2"] > 100);
 }
 
-TEST_CASE("the number of heartbeats per tick is constant, and every entry is reached in turn") {
+TEST_CASE("the number of heartbeats per tick is bounded, and every entry is reached in turn") {
     fleet_builder b;
     for (int i = 0; i < 140; ++i) {
         b.entry("e" + std::to_string(1000 + i), std::string(1, static_cast<char>('a' + i % 8)));
--- a/tests/policy/placement_test.cpp
+++ b/tests/policy/placement_test.cpp
@@ -101,8 +101,8 @@
 }
 
 TEST_CASE("on a leaving VM a patient job is stopped and a daily job finishes") {
-    // A wave cordons w1. The patient job is stopped at a checkpoint so that it can move; the daily job is
-    // shorter and keeps running.
+    // A wave cordons w1. The patient job is stopped at a checkpoint so that it can move; the daily job, which
+    // is nearly finished, keeps running.
     placement_fixture j;
     j.add("sweep", 1'000, job_urgency::patient);
     j.add("digest", 1'000, job_urgency::daily);
--- a/tests/policy/routing_test.cpp
+++ b/tests/policy/routing_test.cpp
@@ -116,7 +116,7 @@
     r.targets.on_sent("w1");
     r.targets.on_sent("w1");
     r.targets.on_finished("w1", attempt_result::refused_by_target, r.b.now);
-    CHECK(limit() == before - 7); // The limit drops to the number of requests in flight.
+    CHECK(limit() == before - 7); // Other entries use its slots; the limit drops to 1, as in flight.
     for (int i = 0; i < 4; ++i) {
         r.targets.on_finished("w1", attempt_result::answered, r.b.now);
         r.targets.on_sent("w1");
