--- a/control/claim_task.cpp
+++ b/control/claim_task.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// Least time between two writes of a shard, so that the shards of all entries together stay within the
-/// store's rate.
+/// Minimum interval between two writes of a shard by one entry. It keeps the writes of all entries and shards
+/// together within the rate that the store allows.
 constexpr milliseconds min_write_interval = 60ms;
 constexpr milliseconds retry_interval = 500ms;
 
@@ -141,7 +141,7 @@
         } else {
             const claim_entry line{claim.key.first, claim.key.second, claim.nonce, false};
             lines.push_back(line);
-            // Two requests with one key in one batch: the second must see the first.
+            // A later request with the same key in this batch must find this claim.
             updated.set_open(updated.make_log_with({line}), updated.version());
             undecided.push_back(std::move(claim));
         }
@@ -174,8 +174,8 @@
         write_log(index, next);
         return;
     }
-    // The generation before the open one leaves the open key now, so it must first stand under its own.
-    // Whoever writes it writes the same lines, so finding it there already is as good.
+    // Starting the next generation removes the previous one from the open log, so the previous one is stored
+    // under its own key first. Every entry would write the same lines, so a conflict counts as success.
     const std::uint64_t closing = item.log.open().generation - 1;
     const claim_log closed{closing, item.log.open().previous, {}};
     m_platform.put(closed_log_key(index, closing), 0, encode_claim_log(closed), claim_retention,
@@ -208,7 +208,7 @@
         return;
     case store_status::conflict:
     case store_status::unknown:
-        // Another entry was faster, or our own write's answer is lost: only the store knows.
+        // Another entry has written the log, or the answer to this write was lost: read the stored log again.
         item.is_loaded = false;
         load_open_log(index);
         return;
@@ -227,7 +227,8 @@
     std::deque<pending_claim> failed;
     failed.swap(item.waiting_claims);
     for (pending_claim& claim : failed) {
-        // Its write may have taken effect all the same; the release undoes that when the platform is back.
+        // The write of this claim may have taken effect; the release undoes it once the platform is
+        // reachable.
         item.releases.push_back({claim.key.first, claim.key.second, claim.nonce, true});
         claim.done(claim_answer::unavailable);
     }
--- a/control/claim_task.hpp
+++ b/control/claim_task.hpp
@@ -9,28 +9,32 @@
 
 namespace siskinpaddle {
 
-/// Answer to a claim.
+/// Result of a claim.
 enum class claim_answer : std::uint8_t { granted, already_claimed, unavailable };
 
-/// Takes claims on idempotency keys from the platform, many with one write. A claim is granted only when the
-/// platform holds it; without the platform nothing is granted.
+/// Claims idempotency keys in the platform's store, grouping the claims of a shard into one write. A claim is
+/// granted only after the store has accepted it, so no claim is granted while the platform is unreachable.
+/// Belongs to the thread of its event loop.
 class claim_task {
   public:
     claim_task(event_loop& loop, platform_client& platform, metrics& counters, std::uint64_t seed);
 
     using callback = std::function<void(claim_answer)>;
 
-    /// Claims `key` under `nonce`; `done` is called once, before `deadline` plus one call's time.
+    /// Claims `key` for the attempt identified by `nonce`. `done` is called exactly once, no later than
+    /// `deadline` plus the duration of one platform call.
     void claim(const claim_key& key, std::uint64_t nonce, timestamp deadline, callback done);
 
-    /// Gives a claim back for a request that certainly was not run. Tried again until the platform holds it
-    /// or the process ends.
+    /// Releases the claim of a request that is confirmed not to have run. The release is retried until it is
+    /// stored or the process ends.
     void release(const claim_key& key, std::uint64_t nonce);
 
-    /// A number that no other attempt uses.
+    /// Returns a random number to identify one attempt; a collision is negligibly rare.
     [[nodiscard]] std::uint64_t make_nonce() { return m_random.next(); }
 
+    /// Number of claim log lines that are held in memory, over all shards.
     [[nodiscard]] std::size_t line_count() const;
+    /// Number of releases that are not confirmed as stored.
     [[nodiscard]] std::size_t pending_releases() const;
 
   private:
--- a/control/control.hpp
+++ b/control/control.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Public header of the control library: the tasks of an entry that keep its knowledge in force, its
-/// registration, the planner, the tasks' leases and the health checks. Each task owns its state; all run on
-/// one loop and are not thread-safe.
+/// Public header of the control library: the tasks of an entry that replicate the platform's values, claim
+/// idempotency keys, register the entry, plan the fleet, renew task leases and check the health of targets.
+/// Each task owns its state. All tasks run on one event loop and are not thread-safe.
 
 #include "control/claim_task.hpp"
 #include "control/entry_settings.hpp"
--- a/control/entry_settings.cpp
+++ b/control/entry_settings.cpp
@@ -16,7 +16,7 @@
     result.port = static_cast<std::uint16_t>(object.number("port", {1, 65'535}));
     in_addr parsed{};
     if (inet_pton(AF_INET, result.address.c_str(), &parsed) != 1) {
-        out.add(object.path_of("address"), "must be an IPv4 number");
+        out.add(object.path_of("address"), "must be an IPv4 address");
     }
     object.reject_unknown();
     return result;
@@ -37,7 +37,7 @@
     if (const auto value = value_named<Enum>(text)) {
         target = *value;
     } else {
-        out.add(root.path_of(key), "'" + text + "' is not one of its names");
+        out.add(root.path_of(key), "'" + text + "' is not a valid value");
     }
 }
 
--- a/control/entry_settings.hpp
+++ b/control/entry_settings.hpp
@@ -9,7 +9,7 @@
 
 namespace siskinpaddle {
 
-/// Settings of one entry process, read once at start; docs/CONFIGURATION.md describes each key.
+/// Settings of one entry process, read once at start. docs/CONFIGURATION.md describes each key.
 struct entry_settings {
     std::string id;
     std::string availability_zone;
@@ -17,7 +17,7 @@
     endpoint operators;
     endpoint peers;
     endpoint platform;
-    std::vector<endpoint> seed_peers; ///< Asked for values when the platform doesn't answer at start.
+    std::vector<endpoint> seed_peers; ///< Peers to pull values from when the store can't be read at start.
     std::string peer_key;
     std::int64_t max_requests = 2048;
     std::int64_t max_body_bytes = 1 << 20;
@@ -30,7 +30,8 @@
     event_level log_level = event_level::info;
 };
 
-/// Reads and checks settings. All findings go to `out` with their JSON pointer.
+/// Parses and validates settings. Adds every finding to `out` with its JSON pointer; the returned settings
+/// are usable only when there is none.
 [[nodiscard]] entry_settings parse_entry_settings(const boost::json::value& document, findings& out);
 
 } // namespace siskinpaddle
--- a/control/health_task.cpp
+++ b/control/health_task.cpp
@@ -74,7 +74,8 @@
                       if (current == nullptr || current->state_revision != state_revision) {
                           return;
                       }
-                      // A target that still runs another pool's services is not healthy for this one.
+                      // A target that still runs the services of another pool is not healthy for the VM's
+                      // current pool.
                       const std::string_view pool = answer.headers.get("Target-Pool");
                       const bool passed = answer.status == exchange_status::answered && answer.code == 200 &&
                                           (pool.empty() || pool == current->pool);
--- a/control/health_task.hpp
+++ b/control/health_task.hpp
@@ -8,20 +8,20 @@
 
 namespace siskinpaddle {
 
-/// Checks the health of targets: those that return from maintenance, those that any entry of the zone
-/// suspects, and in turn all that this entry is in charge of.
+/// Checks the health of targets: of returning VMs, of serving VMs in this entry's zone that any entry
+/// suspects, and periodically of all serving VMs that this entry is responsible for. Not thread-safe.
 class health_task {
   public:
-    /// `on_result` is told of each check of a serving VM.
+    /// Calls `on_result` with the result of each check of a serving VM.
     health_task(event_loop& loop, const entry_settings& settings, state_task& state,
                 std::function<void(const std::string& vm, bool good)> on_result);
 
     void start();
 
-    /// Returning VMs that have passed their check since they entered that state.
+    /// Returns the returning VMs that have passed a check since they entered that state.
     [[nodiscard]] std::set<std::string> healthy_vms() const;
 
-    /// VMs that this entry's own requests suspect; checked with the next tick.
+    /// Sets the VMs that this entry's requests and health checks suspect; these VMs are checked at each tick.
     void set_suspects(std::set<std::string> vms) { m_own_suspects = std::move(vms); }
 
   private:
@@ -32,8 +32,8 @@
     state_task& m_state;
     std::function<void(const std::string&, bool)> m_on_result;
     http_client m_client;
-    std::map<std::string, std::uint64_t>
-        m_passed_revisions; ///< Returning VM: the revision at which it began to return.
+    std::map<std::string, std::uint64_t> m_passed_revisions; ///< By VM that has passed its check: fleet
+                                                             ///< revision at which it entered `returning`.
     std::set<std::string> m_own_suspects;
     std::set<std::string> m_checks_in_flight;
     std::map<std::string, timestamp> m_last_checks;
--- a/control/planner_task.cpp
+++ b/control/planner_task.cpp
@@ -7,16 +7,19 @@
 constexpr milliseconds plan_interval = 250ms;
 constexpr milliseconds control_lease_duration = 4s;
 constexpr milliseconds lease_renewal_interval = 1300ms;
-/// Those that don't hold the lease ask more seldom the more they are, so that the store's load stays bounded.
+/// The interval at which an entry without the control lease tries to acquire it grows with the number of
+/// entries, so that the load on the store stays bounded.
 constexpr milliseconds min_lease_attempt_interval = 2s;
 constexpr milliseconds lease_attempt_interval_per_entry = 40ms;
 constexpr milliseconds list_read_interval = 1s;
 constexpr milliseconds reboot_retry_interval = 2s;
-/// What fleet records written and VM lists read may cost on average: below the 25 KB a second that a node may
-/// spend on control in all. The burst lets a failure's few changes go through at once at 870 VMs.
+/// Average rate of the bytes of written fleet records and read VM lists. It is below the 25 KB per second
+/// that a node may use for all control traffic. The burst allows the few changes that follow a failure to be
+/// written immediately in a fleet of 870 VMs.
 constexpr std::int64_t control_bytes_per_second = 16'000;
 constexpr std::int64_t control_burst_bytes = 400'000;
-/// A record that is written comes back once, by the watch of this entry's zone.
+/// Each written record is transferred twice: the write sends it, and the watch of this entry's zone returns
+/// it.
 constexpr std::int64_t copies_per_write = 2;
 constexpr std::string_view control_lease_name = "control";
 
@@ -74,7 +77,7 @@
 
 void planner_task::renew_lease() {
     m_renewing = true;
-    // Counted from before the call: the platform's time-to-live can only have begun later.
+    // The lease is counted from before the call, because the platform starts its time-to-live later.
     const timestamp requested_at = event_loop::now();
     m_platform.acquire_lease(
         std::string(control_lease_name), control_lease_duration,
@@ -183,7 +186,7 @@
                 return;
             }
             log_event(event_id::plan_conflict, {{"fleet", revision}, {"status", name_of(answer.status)}});
-            // Lost swap or lost answer alike: plan again from what the store holds now.
+            // After a failed swap and after a lost answer alike, the next plan starts from the stored record.
             m_state.refresh([](bool) {});
         });
 }
@@ -204,9 +207,9 @@
     m_reboot_requests = std::move(requested);
 }
 
-/// A job's VM was lost or restarted under it when the VM's epoch is above the job's. Its task has certainly
-/// ended once no entry can renew the lease any more, which each shows by having applied that epoch, and the
-/// lease has run out.
+/// A VM epoch above the one recorded in a job means that the VM was lost or restarted while it ran the job.
+/// The job's task is confirmed to have ended when every entry has reported the fleet revision with the new VM
+/// epoch as applied, so that none renews the task lease any more, and the lease has expired since then.
 void planner_task::record_ended_tasks(timestamp now) {
     std::map<std::string, std::pair<std::uint32_t, timestamp>> wait_starts;
     m_ended_tasks.clear();
--- a/control/planner_task.hpp
+++ b/control/planner_task.hpp
@@ -8,16 +8,17 @@
 
 namespace siskinpaddle {
 
-/// What the planner last decided, for operators.
+/// Result of the last planning step, for status reports to operators.
 struct planner_summary {
     bool holds_control_lease = false;
     std::vector<plan_wait> waits;
     availability_map pools;
 };
 
-/// Plans while this entry holds the control lease. Every write is a compare-and-swap on the fleet revision
-/// that the plan was made from, so a planner that was paused past its lease writes nothing: whoever planned
-/// meanwhile has moved the revision.
+/// Plans the fleet and places jobs while this entry holds the control lease. Every write is a
+/// compare-and-swap on the store version that the plan was made from. A planner that is paused beyond the end
+/// of its lease therefore can't overwrite the plans of its successor, which have changed that version. Not
+/// thread-safe.
 class planner_task {
   public:
     planner_task(event_loop& loop, const entry_settings& settings, platform_client& platform,
@@ -25,7 +26,7 @@
 
     void start();
 
-    /// Gives the lease back; plans no more.
+    /// Releases the control lease and stops planning.
     void stop();
 
     [[nodiscard]] const planner_summary& summary() const noexcept { return m_summary; }
@@ -53,7 +54,7 @@
     observations m_observations;
     worker_health_tracker m_worker_health;
     usage_estimates m_usage;
-    std::map<std::string, std::uint32_t> m_ended_tasks;
+    std::map<std::string, std::uint32_t> m_ended_tasks; ///< By VM: epoch below which all tasks have ended.
     std::map<std::string, std::pair<std::uint32_t, timestamp>> m_lease_wait_starts;
     std::map<std::string, std::uint64_t> m_placed;
     std::set<std::string> m_pools_being_written;
@@ -69,10 +70,10 @@
     std::unique_ptr<timer> m_timer;
 };
 
-/// How long a worker's lease on a task lasts after each call.
+/// Duration of a worker's lease on a task, from the arrival of each renewing call.
 inline constexpr milliseconds task_lease_duration = 10s;
-/// Added to a task lease before it has certainly run out: clocks that run apart, and a call that arrives
-/// late.
+/// Margin that is added to `task_lease_duration` before a task lease counts as expired. It covers clock drift
+/// and calls that arrive late.
 inline constexpr milliseconds task_lease_margin = 5s;
 
 } // namespace siskinpaddle
--- a/control/registration_task.cpp
+++ b/control/registration_task.cpp
@@ -6,7 +6,7 @@
 
 constexpr milliseconds check_interval = 500ms;
 
-/// Decodes a stored fleet record; nothing when it is damaged. An absent value is an empty record.
+/// Decodes a stored fleet record. Returns an empty record for an absent value and nothing for a damaged one.
 std::optional<fleet_record> decode_stored_fleet(const stored_value& current) {
     if (current.version == 0) {
         return fleet_record{};
@@ -60,9 +60,9 @@
         }
         if (const entry_record* existing = fleet->find_entry(m_settings.id)) {
             if (*existing == make_own_record()) {
-                return std::nullopt; // An earlier write whose answer was lost.
+                return std::nullopt; // Stored by an earlier write whose answer was lost.
             }
-            // The port that it names is bound by this process now, so the process that stood there has ended.
+            // This process has bound the port of the registration, so the registered process has ended.
             m_state.raise_incarnation(existing->incarnation);
         }
         fleet->put_entry(make_own_record());
--- a/control/registration_task.hpp
+++ b/control/registration_task.hpp
@@ -7,8 +7,8 @@
 
 namespace siskinpaddle {
 
-/// Keeps this entry in the fleet record, so that planned steps wait for it, and takes it out on a graceful
-/// stop.
+/// Registers this entry in the fleet record, so that planned steps wait for its confirmation, and registers
+/// it again when the registration is lost. Removes the entry on a graceful stop. Not thread-safe.
 class registration_task {
   public:
     registration_task(event_loop& loop, const entry_settings& settings, platform_client& platform,
@@ -16,7 +16,8 @@
 
     void start();
 
-    /// Takes the entry out of the record; `done` is told whether the platform holds that. Registers no more.
+    /// Removes the entry from the fleet record and never registers it again. Calls `done` with true when the
+    /// removal is confirmed by the store.
     void deregister(std::function<void(bool)> done);
 
   private:
--- a/control/runner_task.cpp
+++ b/control/runner_task.cpp
@@ -51,8 +51,8 @@
     if (job.state == job_state::stopping) {
         call.order = task_order::checkpoint_and_stop;
     }
-    // A task from before the VM's loss or restart is stopped, never renewed: its job may be given away
-    // already.
+    // A task that was started before its VM was lost or restarted is stopped and never renewed, because its
+    // job may already be assigned to another VM.
     if (job.state == job_state::cancelling || vm.state == vm_state::lost || vm.epoch != job.vm_epoch) {
         call.order = task_order::stop;
     }
@@ -96,7 +96,7 @@
 }
 
 void runner_task::store_updates(const std::string& pool) {
-    // What the table says already is no news; most reports only say that a task still runs.
+    // Reports that don't change the job table are dropped; most of them only confirm that a task still runs.
     job_table local_table = m_state.values().jobs(pool);
     if (!apply_task_updates(local_table, m_pending_updates[pool])) {
         m_pending_updates[pool].clear();
@@ -120,7 +120,7 @@
     m_platform.update(name, current, change, [this, pool, name, updates](const store_answer& answer) {
         m_pools_being_written.erase(pool);
         if (answer.status != store_status::ok) {
-            return; // The workers say it again with the next call.
+            return; // The workers repeat their reports in the answer to the next call.
         }
         m_state.apply_value(name, answer.value);
         for (const task_update& item : updates) {
--- a/control/runner_task.hpp
+++ b/control/runner_task.hpp
@@ -7,9 +7,9 @@
 
 namespace siskinpaddle {
 
-/// Starts, renews and stops the tasks on the VMs that this entry is in charge of, and enters what the workers
-/// say into the job tables. Entries of the VM's own zone do this, so a zone that is cut off keeps its jobs
-/// running.
+/// Starts, renews and stops the tasks on the VMs that this entry is responsible for, and stores the reports
+/// of their workers in the job tables. An entry in the VM's own zone is responsible for it, so a zone that is
+/// partitioned from the others keeps its jobs running. Not thread-safe.
 class runner_task {
   public:
     runner_task(event_loop& loop, const entry_settings& settings, platform_client& platform,
@@ -28,8 +28,8 @@
     state_task& m_state;
     worker_client& m_workers;
     metrics& m_metrics;
-    std::set<std::string> m_vms_being_called;                          ///< VMs with a call under way.
-    std::map<std::string, std::vector<task_update>> m_pending_updates; ///< Per pool, not yet in the store.
+    std::set<std::string> m_vms_being_called;                          ///< VMs with a call in flight.
+    std::map<std::string, std::vector<task_update>> m_pending_updates; ///< Per pool, not yet stored.
     std::set<std::string> m_pools_being_written;
     std::unique_ptr<timer> m_timer;
 };
--- a/control/state_task.cpp
+++ b/control/state_task.cpp
@@ -60,7 +60,7 @@
     ++m_tick_count;
     send_heartbeats(false);
     start_missing_watches();
-    // Jitter keeps the entries' beats from falling into step.
+    // Jitter prevents the heartbeats of the entries from synchronizing.
     const auto interval = static_cast<std::uint64_t>(m_settings.heartbeat_interval.count());
     m_heartbeat_timer->start(milliseconds(interval * 9 / 10 + m_random.next_below(interval / 5 + 1)));
 }
@@ -205,7 +205,8 @@
         log_event(event_id::platform_unreachable, {{"value", name}, {"status", name_of(answer.status)}});
     }
     state.consecutive_failures = answered ? 0 : state.consecutive_failures + 1;
-    // A full jitter spreads the watchers of all zones over the time in which a slow platform comes back.
+    // Full jitter spreads the retries of all watching entries over the time in which a slow platform
+    // recovers.
     const milliseconds max_delay =
         std::min(max_backoff, min_backoff * (1 << std::min(state.consecutive_failures, 5)));
     const bool is_immediate = answer.status == store_status::ok || answer.status == store_status::unchanged;
@@ -213,7 +214,7 @@
         is_immediate ? 1ms
                      : milliseconds(1 + m_random.next_below(static_cast<std::uint64_t>(max_delay.count())));
     state.retry_timer = m_loop.make_timer([this, name] {
-        // Another entry of the zone may have taken over the watch meanwhile.
+        // Another entry of the zone may have taken over the watch during the delay.
         if (watches_store(fleet(), m_settings.id, find_silent_entries())) {
             watch_value(name);
         } else {
@@ -266,7 +267,8 @@
         m_peers.probe({entry->address, entry->peer_port}, [this, record = *entry](bool refused) {
             entry_report& report = m_reports[record.id];
             if (report.incarnation < record.incarnation) {
-                // Registered, but never heard: the proof is about the registered incarnation.
+                // The registered incarnation has not reported yet. The result of the probe belongs to it, so
+                // a new report replaces that of the earlier incarnation.
                 report = {};
                 report.incarnation = record.incarnation;
                 report.received_at = event_loop::now();
--- a/control/state_task.hpp
+++ b/control/state_task.hpp
@@ -13,8 +13,9 @@
 
 namespace siskinpaddle {
 
-/// Keeps the values of the platform in force at this entry: watches the store when it is this entry's turn,
-/// hears from peers, pulls from whoever has something newer, and tells others.
+/// Keeps this entry's replica of the stored values up to date and notifies peers of changes. Watches the
+/// store when this entry does so for its zone, receives heartbeats from peers, and pulls newer values from
+/// peers that have them. Not thread-safe.
 class state_task {
   public:
     state_task(event_loop& loop, const entry_settings& settings, platform_client& platform);
@@ -23,13 +24,14 @@
     [[nodiscard]] bool listen();
     void start();
 
-    /// Called whenever a value came into force, with its name, before the revision is reported to anyone.
-    /// Whatever a revision takes away has therefore ended here before the planner hears that it was applied.
+    /// Adds a handler that is called with the name of each value that changes, before the new revision is
+    /// reported to any peer. Work that the revision no longer allows has therefore ended at this entry before
+    /// the planner receives the report that the revision is applied.
     void on_change(std::function<void(const std::string&)> handler) {
         m_change_handlers.push_back(std::move(handler));
     }
 
-    /// Adds this entry's own report to each heartbeat.
+    /// Adds a function that fills in parts of this entry's report in each heartbeat.
     void add_heartbeat_filler(std::function<void(heartbeat&)> filler) {
         m_heartbeat_fillers.push_back(std::move(filler));
     }
@@ -38,22 +40,23 @@
     [[nodiscard]] const configuration& config() const noexcept { return m_replica.config(); }
     [[nodiscard]] const fleet_record& fleet() const noexcept { return m_replica.fleet(); }
 
-    /// Takes a value that this entry has just written or read.
+    /// Applies a value that this entry has just written to the store or read from it.
     void apply_value(const std::string& name, const stored_value& value);
 
-    /// Reads a value from the store now, or from a peer when the store doesn't answer. `done` is told whether
-    /// anybody answered.
+    /// Reads the configuration and the fleet record from the store, or from a random peer when the store
+    /// doesn't answer. Calls `done` with true when the store has answered the read of the fleet record or the
+    /// peer has answered.
     void refresh(const std::function<void(bool)>& done);
 
-    /// Reports of all entries, this one's own included.
+    /// Returns the latest reports of all entries, including a current report of this entry.
     [[nodiscard]] const std::map<std::string, entry_report>& reports();
     [[nodiscard]] std::set<std::string> find_silent_entries() const;
 
-    /// Looks for the processes behind silent registrations; the result shows in reports().
+    /// Checks for each silent entry whether its process has ended; reports() includes the result.
     void probe_silent_entries();
 
     [[nodiscard]] std::uint64_t incarnation() const noexcept { return m_incarnation; }
-    /// Raises the incarnation above one that stands registered. Only before the first registration.
+    /// Raises the incarnation above a registered one. Precondition: this process is not registered.
     void raise_incarnation(std::uint64_t above);
     [[nodiscard]] bool is_registered() const;
     void set_ready(bool ready) { m_is_ready = ready; }
