--- a/gateway/caller_gateway.cpp
+++ b/gateway/caller_gateway.cpp
@@ -212,7 +212,8 @@
                      m_targets.has_target(request.pool) ? answer_code::target_busy : answer_code::no_target);
         return;
     }
-    // Counts from the choice on, so that a slot is held while the claim is being written.
+    // The request counts as in flight as soon as its VM is chosen, so that it occupies a slot of the VM while
+    // the claim is being written.
     m_targets.on_sent(request.target->vm);
     if (request.key && !request.claimed) {
         claim_then_send(request);
@@ -245,7 +246,8 @@
 
 void caller_gateway::send(caller_request& request) {
     const timestamp now = event_loop::now();
-    // The claim took time: the VM may have been cordoned, or given to a rival, since it was chosen.
+    // Writing the claim takes time. The VM may have been cordoned or assigned to another member's pool
+    // since it was chosen.
     if (!m_targets.is_still_valid(*request.target, request.pool)) {
         m_targets.on_finished(request.target->vm, attempt_result::answered, now);
         request.tried_vms.insert(request.target->vm);
@@ -336,7 +338,7 @@
     caller_request& request = found->second;
     answer_code reported = code;
     if (request.may_have_run && find_answer_rule(code).result == outcome::not_run) {
-        reported = answer_code::target_reset; // An earlier attempt may have run it.
+        reported = answer_code::target_reset; // An earlier attempt may have run the request.
     }
     if (request.claimed && find_answer_rule(reported).result == outcome::not_run) {
         m_claims.release(*request.key, request.nonce);
--- a/gateway/caller_gateway.hpp
+++ b/gateway/caller_gateway.hpp
@@ -9,8 +9,8 @@
 
 namespace siskinpaddle {
 
-/// Takes callers' requests and sees each to exactly one final answer: the target's whole answer or one of
-/// ours.
+/// Accepts callers' requests and gives each exactly one final answer: the complete answer of a target, or an
+/// error answer of this entry. Not thread-safe.
 class caller_gateway {
   public:
     caller_gateway(event_loop& loop, const entry_settings& settings, state_task& state, claim_task& claims,
@@ -20,7 +20,7 @@
     [[nodiscard]] bool listen();
     void start();
 
-    /// Takes no new requests; those in progress go on.
+    /// Rejects new requests; requests in progress are completed.
     void drain();
     [[nodiscard]] bool is_idle() const { return m_requests.empty() && m_server.requests_in_progress() == 0; }
     [[nodiscard]] bool is_ready() const;
--- a/gateway/operator_gateway.cpp
+++ b/gateway/operator_gateway.cpp
@@ -175,8 +175,8 @@
     if (!parse_patch(request, member, patch)) {
         return;
     }
-    // The verdict is made inside the swap, on the value that the store holds then. After a lost answer the
-    // next reading finds the submission's own id in the history.
+    // The verdict is computed inside the compare-and-swap, on the value that is stored at that moment. If the
+    // answer to the write is lost, the next read finds the write id of this submission in the history.
     auto result = std::make_shared<patch_result>();
     const auto change = [patch, result](const stored_value& current) -> std::optional<std::string> {
         findings problems;
@@ -199,7 +199,7 @@
                               const bool unknown = answer.status == store_status::unknown;
                               reply_error(*request, unknown ? 504 : 503,
                                           unknown
-                                              ? "the platform's answer is lost; submit the same patch again"
+                                              ? "the platform's answer was lost; submit the same patch again"
                                               : "the platform can't be reached; nothing was changed");
                               return;
                           }
@@ -215,7 +215,7 @@
                                      : std::strtoull(requested_number.c_str(), nullptr, 10);
     const boost::json::value* document = m_state.values().find_document(number);
     if (document == nullptr) {
-        reply_error(*request, 404, "this entry does not remember that number");
+        reply_error(*request, 404, "this entry no longer keeps the configuration with that number");
         return;
     }
     reply_json(*request, 200, boost::json::object{{"number", number}, {"document", *document}});
@@ -370,11 +370,11 @@
         problems.add("/urgency", "must be urgent, daily or patient");
     }
     if (job.id.empty() || job.id.size() > 128 || job.id.find('/') != std::string::npos) {
-        problems.add("/id", "must have 1 to 128 characters, no slash among them");
+        problems.add("/id", "must have 1 to 128 characters and no slash");
     }
     const auto team = m_state.config().teams.find(job.team);
     if (team == m_state.config().teams.end()) {
-        problems.add("/team", "names no team: '" + job.team + "'");
+        problems.add("/team", "unknown team '" + job.team + "'");
     }
     if (!problems.empty()) {
         reply_error(*request, 400, "bad job", problems);
@@ -383,7 +383,7 @@
     if (!can_manage_pool(member, pool) ||
         (team->second.member != member && !m_state.config().members.at(member).admin)) {
         log_event(event_id::operator_refused, {{"member", member}, {"pool", pool}});
-        reply_error(*request, 403, "the pool or the team is not yours");
+        reply_error(*request, 403, "the pool or the team belongs to another member");
         return;
     }
     job.urgency = *urgency;
@@ -394,10 +394,10 @@
                 const bool same =
                     known->team == job.team && known->kind == job.kind && known->size == job.size;
                 refusal = same ? "" : "another job has this id";
-                return false; // The same submission again, after a lost answer: it is held already.
+                return false; // A repeated submission after a lost answer; the job is already stored.
             }
             if (table.jobs.size() >= max_jobs_per_pool) {
-                refusal = "the pool holds as many jobs as it may";
+                refusal = "the pool has reached its maximum number of jobs";
                 return false;
             }
             table.jobs.push_back(job);
--- a/gateway/operator_gateway.hpp
+++ b/gateway/operator_gateway.hpp
@@ -8,8 +8,9 @@
 
 namespace siskinpaddle {
 
-/// Takes operators' requests: patches, questions and jobs. Every request carries its member's credential;
-/// nobody may touch what a rival owns.
+/// Serves operators' requests: configuration patches, queries and jobs. Every request except /metrics and
+/// /health must carry the credential of a member. Only an admin can change another member's pools, or
+/// read, submit or cancel jobs there. Not thread-safe.
 class operator_gateway {
   public:
     operator_gateway(event_loop& loop, const entry_settings& settings, platform_client& platform,
@@ -24,7 +25,7 @@
     using action = void (operator_gateway::*)(const request_ptr& from, const std::string& member);
     struct route {
         std::string_view method;
-        std::string_view path; ///< Ends with '/' where more may follow.
+        std::string_view path; ///< A path that ends with '/' matches as a prefix.
         action handler;
     };
     static const std::vector<route>& routes();
--- a/gateway/operator_reports.hpp
+++ b/gateway/operator_reports.hpp
@@ -6,7 +6,7 @@
 
 namespace siskinpaddle {
 
-/// JSON that operators are shown. All pure.
+/// Builds the JSON bodies of the answers to operators. All functions are pure.
 [[nodiscard]] boost::json::array findings_json(const findings& problems);
 [[nodiscard]] boost::json::object job_json(const job_record& job, const std::string& pool);
 [[nodiscard]] boost::json::array vms_json(const fleet_record& fleet, const std::string& pool);
--- a/main/entry.cpp
+++ b/main/entry.cpp
@@ -7,10 +7,11 @@
 namespace {
 
 constexpr milliseconds tick_interval = 100ms;
-/// How long the entry must have been idle before it leaves: a caller may be sending on a kept connection just
-/// now.
+/// Time for which a draining entry must be idle before it deregisters, because a caller may just be sending a
+/// request on a keep-alive connection.
 constexpr milliseconds min_idle_time = 300ms;
-/// Bound on leaving the fleet record; without the platform the refused port proves the end instead.
+/// Time limit for the removal from the fleet record. If the platform is unreachable, the entry stops without
+/// it, and other entries detect its end by its refused port.
 constexpr milliseconds deregister_timeout = 5s;
 
 } // namespace
--- a/main/entry.hpp
+++ b/main/entry.hpp
@@ -7,22 +7,25 @@
 
 namespace siskinpaddle {
 
-/// One entry process put together: all its tasks on one loop, their start and their graceful stop.
+/// The complete front-end process: owns all tasks, runs them on one event loop, starts them and stops them
+/// gracefully.
 class entry {
   public:
     entry(event_loop& loop, const entry_settings& settings);
 
-    /// Binds every listener. Findings name each address that can't be bound.
+    /// Binds all listeners. Returns one finding for each address that can't be bound.
     [[nodiscard]] findings listen();
 
     /// Starts all tasks. Precondition: listen() returned no findings.
     void start();
 
-    /// Stops gracefully: takes no new requests, sees those in progress to their end, leaves the fleet record,
-    /// then calls `stopped`.
+    /// Stops gracefully: rejects new requests, completes those in progress, removes this entry from the fleet
+    /// record, then calls `on_stopped`. Requests still in progress after the `drain_bound` setting are not
+    /// waited for. Further calls have no effect.
     void drain(std::function<void()> on_stopped);
 
-    /// Drops all traffic with peers while `cut` is set, as a partition would. For tests and drills.
+    /// Drops all traffic with peers while `partitioned` is true, to simulate a network partition in tests and
+    /// drills.
     void set_partitioned(bool partitioned) { m_state.set_partitioned(partitioned); }
 
   private:
--- a/main/siskinctl.cpp
+++ b/main/siskinctl.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Exit codes, documented in docs/OPERATIONS.md.
+/// Exit codes of siskinctl, documented in docs/OPERATIONS.md.
 enum exit_code : int {
     exit_success = 0,
     exit_usage = 1,
@@ -102,7 +102,8 @@
     }
 }
 
-/// Prints the answer: whole with --json, else the array at `rows` as a table.
+/// Prints the answer and returns the exit code. With --json the whole body is printed as JSON, otherwise its
+/// scalar fields and the array under `rows_key` as a table.
 int print_reply(const options& opts, const reply& result, const char* rows_key) {
     if (const int code = exit_code_for(result); code != exit_success) {
         if (opts.json) {
@@ -149,7 +150,8 @@
                                       boost::json::serialize(body));
     const int code = print_reply(opts, result, nullptr);
     if (code == exit_unknown) {
-        std::cerr << "siskinctl: it may be in force; ask again with --write-id " << write_id << "\n";
+        std::cerr << "siskinctl: the patch may be in force; submit it again with --write-id " << write_id
+                  << "\n";
     }
     return code;
 }
@@ -195,15 +197,18 @@
             "is read from the environment variable SISKIN_CREDENTIAL. Exit codes: 0 good, 1 usage, "
             "3 conflict, 4 refused, 5 unreachable, 6 outcome unknown.",
             ' ', SISKINPADDLE_VERSION);
-        TCLAP::ValueArg<std::string> address("a", "address", "IP number of an entry.", false, "127.0.0.1",
+        TCLAP::ValueArg<std::string> address("a", "address", "IP address of an entry.", false, "127.0.0.1",
                                              "IP", command_line);
         TCLAP::ValueArg<int> port("p", "port", "Operators' port of the entry.", true, 0, "PORT",
                                   command_line);
-        TCLAP::ValueArg<std::string> against("", "against", "Configuration number of the patch.", false, "",
-                                             "N", command_line);
-        TCLAP::ValueArg<std::string> pool("", "pool", "Only this pool.", false, "", "POOL", command_line);
-        TCLAP::ValueArg<std::string> write_id("", "write-id", "Id of an earlier submission.", false, "", "ID",
-                                              command_line);
+        TCLAP::ValueArg<std::string> against("", "against",
+                                             "Number of the configuration that the patch is based on.", false,
+                                             "", "N", command_line);
+        TCLAP::ValueArg<std::string> pool("", "pool", "List only the VMs of this pool.", false, "", "POOL",
+                                          command_line);
+        TCLAP::ValueArg<std::string> write_id("", "write-id",
+                                              "Write id of an earlier submission that is repeated.", false,
+                                              "", "ID", command_line);
         TCLAP::SwitchArg json("", "json", "Print JSON.", command_line);
         TCLAP::UnlabeledMultiArg<std::string> arguments("command", "Command and its arguments.", true,
                                                         "COMMAND", command_line);
--- a/tests/doors/malformed_input_test.cpp
+++ b/tests/doors/malformed_input_test.cpp
@@ -18,7 +18,8 @@
 
 constexpr int mutation_count = 3000;
 
-/// A changed copy: bytes flipped, cut, doubled or replaced by ones that parsers stumble over.
+/// Returns a copy with 1 to 4 random changes: a byte replaced, the text truncated, a part duplicated or
+/// erased, or a fragment inserted that parsers often mishandle.
 std::string mutate(std::string text, random_source& random) {
     static const std::vector<std::string> hostile_fragments{std::string(1, '\0'),
                                                             "\xff\xff\xff\xff\xff\xff\xff\xff",
@@ -74,7 +75,7 @@
 
 } // namespace
 
-TEST_CASE("mutated settings are refused with findings or are good settings") {
+TEST_CASE("mutated settings are refused with findings or are valid") {
     random_source random(11);
     int refused = 0;
     for (int i = 0; i < mutation_count; ++i) {
@@ -93,7 +94,7 @@
     CHECK(refused > mutation_count / 2);
 }
 
-TEST_CASE("mutated configurations and patches never become nonsense in force") {
+TEST_CASE("mutated configurations and patches are refused or keep the configuration consistent") {
     random_source random(12);
     findings no_problems;
     const stored_configuration valid_config = decode_stored_configuration(stored_config_text(), no_problems);
@@ -125,7 +126,7 @@
     CHECK(refused > mutation_count / 2);
 }
 
-TEST_CASE("mutated peer messages and values are dropped, sealed or not") {
+TEST_CASE("mutated peer messages and values are rejected or decoded without a crash, sealed or unsealed") {
     random_source random(13);
     const std::string key = "a shared key of at least thirty-two characters";
     fleet_builder builder;
@@ -151,7 +152,8 @@
         REQUIRE_FALSE(unseal(key, message_kind::heartbeat,
                              mutate(seal(key, message_kind::heartbeat, body), random) + "x")
                           .has_value());
-        // A peer with the key but a broken encoder: nothing may crash, whatever is decoded.
+        // A peer that has the key but a faulty encoder must not cause a crash, whatever its messages decode
+        // to.
         (void)read_heartbeat(mutate(body, random));
         const std::string changed = mutate(fleet_bytes, random);
         (void)values.apply_stored("fleet", changed, 2);
@@ -167,7 +169,7 @@
     CHECK(read_heartbeat(body));
 }
 
-TEST_CASE("the HTTP door survives garbage, halves and slow senders, and still answers") {
+TEST_CASE("the HTTP server still answers after malformed, truncated and slow requests") {
     random_source random(14);
     event_loop loop;
     int answered = 0;
@@ -185,8 +187,7 @@
     for (int round = 0; round < 60; ++round) {
         int ended = 0;
         for (int i = 0; i < 20; ++i) {
-            // The frame's length in front makes the first line garbage now and then; the rest is a changed
-            // request.
+            // The frame client sends a length prefix, which can make the request line invalid as well.
             malformed_client.send({"127.0.0.1", server.port()}, mutate(valid_request, random), 150ms,
                                   [&](stream_status, std::string_view) { ++ended; });
         }
@@ -209,7 +210,7 @@
     CHECK(refused == 1);
 }
 
-TEST_CASE("the peer door bounds frames and drops senders without the key") {
+TEST_CASE("a peer limits the frame size and rejects senders without the key") {
     event_loop loop;
     int received_heartbeats = 0;
     peer_task keyed_peer(loop, "a shared key of at least thirty-two characters",
@@ -242,7 +243,7 @@
     CHECK(received_heartbeats == 0);
 }
 
-TEST_CASE("mutated words of the platform are refused or read as something harmless") {
+TEST_CASE("mutated platform records are refused or decode to values within their limits") {
     random_source random(31);
     const std::string configuration =
         R"({"version":7,"routes":[{"name":"r","host":"h","prefix":"/p/","service":"s","max_attempts":3,
@@ -307,7 +308,8 @@
     CHECK(refused > mutation_count / 4);
 }
 
-TEST_CASE("mutated values of our own in the store, and mutated peer messages, are refused or harmless") {
+TEST_CASE(
+    "mutated job and owner records from the store, and mutated peer requests, are refused or harmless") {
     random_source random(33);
     jobs::job_record record;
     record.spec.id = "5c0e7a21d94b36f8";
@@ -331,7 +333,7 @@
     }
 }
 
-TEST_CASE("mutated settings of a node are refused with findings or are good settings") {
+TEST_CASE("mutated settings of a node are refused with findings or are valid") {
     random_source random(34);
     const std::string text =
         R"({"id":"n","availability_zone":"z","clients":"10.1.0.9:8624","readiness":"10.1.0.9:8622","address":"10.1.0.9",
--- a/tests/main/deployment.hpp
+++ b/tests/main/deployment.hpp
@@ -14,9 +14,9 @@
 
 namespace siskinpaddle::tests {
 
-/// A whole deployment on one loop: the stand-in platform, stand-in VMs and real entries over real sockets.
-/// Destroying an entry is what a kill looks like to all others: its sockets close at once and nothing is
-/// said.
+/// A complete deployment on one event loop: a fake platform, fake VMs and real entries, connected by real
+/// sockets. Destroying an entry simulates a killed process: its sockets close at once, and it neither
+/// deregisters nor notifies its peers.
 class deployment {
   public:
     static constexpr const char* credential = "an operator's credential";
@@ -74,7 +74,7 @@
 
     [[nodiscard]] const entry_settings& settings(const std::string& id) { return m_settings[id]; }
 
-    /// The fleet record as the store holds it.
+    /// Returns the fleet record from the store, or an empty one if it can't be decoded.
     [[nodiscard]] fleet_record fleet() const {
         const std::string bytes = platform.value("fleet");
         return boost::leaf::try_handle_all([&] { return decode_fleet(bytes); },
@@ -96,7 +96,8 @@
 
     bool run_until(const std::function<bool()>& condition) { return loop_until(loop, condition); }
 
-    /// Starts entries and VMs and waits until both pools serve at their size.
+    /// Starts 2 entries and 3 VMs, and waits until both pools have their configured number of serving VMs and
+    /// both entries are ready.
     void start_default() {
         add_vm("w1");
         add_vm("w2", "b");
@@ -109,7 +110,7 @@
         REQUIRE(run_until([&] { return is_up_to_date("e1") && is_up_to_date("e2"); }));
     }
 
-    /// Whether the entry has the newest fleet record and says that it is ready.
+    /// Whether the entry reports that it is ready and has applied the newest fleet record.
     bool is_up_to_date(const std::string& id) {
         const http_answer answer = send_and_wait(settings(id).callers, "GET", "/siskinpaddle/health");
         findings problems;
@@ -175,7 +176,7 @@
     std::map<std::string, entry_settings> m_settings;
 };
 
-/// Text of a JSON field of an answer, or "".
+/// Returns the text of a JSON field of an answer, or "" if the field is absent.
 inline std::string field(const http_answer& answer, std::string_view key) {
     findings problems;
     const boost::json::value body = parse_json(answer.body, "", problems);
--- a/tests/main/entry_test.cpp
+++ b/tests/main/entry_test.cpp
@@ -6,7 +6,7 @@
 using siskinpaddle::tests::deployment;
 using siskinpaddle::tests::field;
 
-TEST_CASE("a request goes through whole and comes back whole") {
+TEST_CASE("a request reaches its target unchanged, and the target's answer reaches the caller unchanged") {
     deployment d;
     d.start_default();
     std::shared_ptr<server_request> seen;
@@ -36,7 +36,7 @@
     CHECK(left <= 9000);
 }
 
-TEST_CASE("own answers name their outcome, and when to come back") {
+TEST_CASE("answers of the entry itself state the outcome and whether to retry") {
     deployment d;
     d.start_default();
     struct row {
@@ -49,8 +49,8 @@
     };
     const std::vector<row> rows{
         {"no route", "/nowhere", {}, 404, "no-route", false},
-        {"bad deadline", "/k", {{"Deadline-Ms", "soon"}}, 400, "bad-request", false},
-        {"bad key", "/h", {{"Idempotency-Key", std::string(300, 'x')}}, 400, "bad-request", false},
+        {"deadline is not a number", "/k", {{"Deadline-Ms", "soon"}}, 400, "bad-request", false},
+        {"key is too long", "/h", {{"Idempotency-Key", std::string(300, 'x')}}, 400, "bad-request", false},
     };
     for (const row& r : rows) {
         CAPTURE(r.description);
@@ -62,9 +62,9 @@
     }
 }
 
-TEST_CASE("a confirmation whose target dies is unknown, and is not sent again") {
-    // The target reads a seat confirmation and dies. Nobody can know whether it ran; sent to the next target
-    // it might sell the seat twice. A quote, which may be repeated, goes to the next one.
+TEST_CASE("a confirmation whose target fails has the outcome unknown and is not sent again") {
+    // Guards against a repeated side effect: a target that fails after reading a seat confirmation may have
+    // run it, so sending it to another target could sell the seat twice. A repeatable quote is sent again.
     deployment d;
     d.start_default();
     std::map<std::string, int> seen;
@@ -73,7 +73,7 @@
             ++seen[from->method()];
             http_headers headers;
             headers.add("Connection", "close");
-            // No length, no chunks: the end of this answer can't be told from a broken connection.
+            // Without a length or chunks, the end of the answer looks the same as a broken connection.
             from->reply(seen[from->method()] == 1 ? 0 : 200, headers, "x");
         };
     }
@@ -88,7 +88,7 @@
     CHECK(seen["GET"] == 2);
 }
 
-TEST_CASE("a target's refusal is not-run and moves the request on") {
+TEST_CASE("a request that a target refuses is tried on other targets and ends as not-run") {
     deployment d;
     d.start_default();
     int refusals = 0;
@@ -110,8 +110,8 @@
 }
 
 TEST_CASE("the same idempotency key through two entries runs once") {
-    // The caller's first entry dies right after it sent the confirmation on. The caller repeats through
-    // another entry, which knows nothing of it but what the platform holds.
+    // Guards against running a request twice: the first entry fails right after forwarding the confirmation,
+    // and the caller repeats it through another entry, which knows only the claim stored on the platform.
     deployment d;
     d.start_default();
     int runs = 0;
@@ -135,7 +135,7 @@
     held_request.reset();
 }
 
-TEST_CASE("without the platform a keyed confirmation is refused at once, a quote is served") {
+TEST_CASE("without the platform, requests with an idempotency key are refused and all others are served") {
     deployment d;
     d.start_default();
     d.platform.set_fault("", fakes::injected_fault::down);
@@ -146,16 +146,17 @@
     CHECK(keyed.headers.get("Retry-After") == "5");
     CHECK(d.send_and_wait(d.settings("e1").callers, "GET", "/k/fare").code == 200);
     CHECK(d.send_and_wait(d.settings("e1").callers, "POST", "/h/seat").code ==
-          200); // Without a key: once by this entry.
+          200); // No key, so no claim is written.
     d.platform.set_fault("", fakes::injected_fault::none);
-    // The refusal was true, so the same key runs now, when the claim that may have stuck is given back.
+    // The outcome not-run was correct, so the same key can run once a claim that may have been stored is
+    // released.
     REQUIRE(d.run_until([&] {
         return d.send_and_wait(d.settings("e2").callers, "POST", "/h/seat", "", {{"Idempotency-Key", "k1"}})
                    .code == 200;
     }));
 }
 
-TEST_CASE("a claim whose answer is lost after taking effect is settled by reading") {
+TEST_CASE("a claim that is stored but whose answer is lost is resolved by reading the store") {
     deployment d;
     d.start_default();
     int runs = 0;
@@ -166,15 +167,16 @@
         };
     }
     d.platform.set_fault("e1", fakes::injected_fault::lose_answer, 0ms, 1);
-    // The planner writes under the same name; only the claim's own write must be hit, so planning rests at
-    // e2.
+    // The planner writes under the name of its entry as well. The fault has to hit the claim's own write, so
+    // the planner has to be idle on e2.
     const http_answer answer = d.send_and_wait(d.settings("e1").callers, "POST", "/h/seat", "",
                                                {{"Idempotency-Key", "k2"}, {"Deadline-Ms", "30000"}});
     CHECK(answer.code == 200);
     CHECK(runs == 1);
 }
 
-TEST_CASE("an operator's patch is in force everywhere, an old one is refused with what changed") {
+TEST_CASE("an operator's patch takes effect on all entries; a patch against an old number is refused with "
+          "the changed paths") {
     deployment d;
     d.start_default();
     const http_answer first = d.patch("e1", 1, "p1", R"({"pools":{"k":{"max_queue":7}}})");
@@ -190,7 +192,7 @@
     CHECK(field(repeated, "number") == "2");
 }
 
-TEST_CASE("two operators race: one wins, the other is told what changed") {
+TEST_CASE("of two concurrent patches one is accepted and the other gets the changed paths") {
     deployment d;
     d.start_default();
     std::vector<http_answer> answers;
@@ -212,7 +214,7 @@
     CHECK(field(rejected, "changed_paths") == R"(["/pools/k/max_queue"])");
 }
 
-TEST_CASE("a patch whose answer is lost has the number that it got") {
+TEST_CASE("a patch whose store answer is lost is applied once and reports its number") {
     deployment d;
     d.start_default();
     d.platform.set_fault("e2", fakes::injected_fault::lose_answer, 0ms, 1);
@@ -225,7 +227,7 @@
     CHECK(decode_stored_configuration(d.platform.value("config"), problems).history.size() == 1);
 }
 
-TEST_CASE("a store that comes back with an older configuration is refused") {
+TEST_CASE("entries keep the newer configuration when the store is restored with an older one") {
     deployment d;
     d.start_default();
     const std::string old_copy = d.platform.value("config");
@@ -240,7 +242,7 @@
     }
 }
 
-TEST_CASE("nobody operates without a credential, or on a rival's pool") {
+TEST_CASE("operator requests without a credential or on another member's pool are refused") {
     deployment d;
     d.start_default();
     const std::string rival_credential = "the rival's credential";
@@ -255,7 +257,7 @@
     CHECK(field(d.send_operator_request("e1", "GET", "/v1/jobs", "", rival_credential), "jobs") == "[]");
 }
 
-TEST_CASE("a bad job is refused with every finding") {
+TEST_CASE("an invalid job is refused with all its findings") {
     deployment d;
     d.start_default();
     const http_answer answer = d.send_operator_request(
--- a/tests/main/recovery_test.cpp
+++ b/tests/main/recovery_test.cpp
@@ -6,9 +6,9 @@
 using siskinpaddle::tests::deployment;
 using siskinpaddle::tests::field;
 
-TEST_CASE("a wave cuts no request, and every VM returns") {
-    // A long request runs on the VM whose turn it is. The reboot must wait for its end, and no new request
-    // may come.
+TEST_CASE("a wave interrupts no request, and every VM returns to service") {
+    // Guards against rebooting a VM while a request runs on it: a long request is in progress on the VM that
+    // is drained. The reboot must wait for the request's end, and no new request may be sent to the VM.
     deployment d;
     d.start_default();
     std::shared_ptr<server_request> held_request;
@@ -35,7 +35,7 @@
         REQUIRE(answer.body != held_by_vm);
     }
     REQUIRE(d.fleet().find_vm(held_by_vm)->state == vm_state::draining);
-    // The planner says it with its next step, whichever entry is asked.
+    // The planner reports the reason after its next step, and any entry returns it.
     REQUIRE(d.run_until([&] {
         return d.send_operator_request("e2", "GET", "/v1/status")
                    .body.find("requests in progress at entries: e1") != std::string::npos;
@@ -54,7 +54,7 @@
     CHECK(long_answer.body == "the long answer");
 }
 
-TEST_CASE("a killed entry is found out by its refused port and stops holding waves up") {
+TEST_CASE("a killed entry is detected by its refused port and removed from the fleet record") {
     deployment d;
     d.start_default();
     d.kill_entry("e2");
@@ -62,7 +62,7 @@
     CHECK(d.fleet().entries.front().id == "e1");
 }
 
-TEST_CASE("a restarted entry takes its registration over with a higher incarnation") {
+TEST_CASE("a restarted entry reuses its registration with a higher incarnation") {
     deployment d;
     d.start_default();
     const std::uint64_t before = d.fleet().find_entry("e2")->incarnation;
@@ -73,7 +73,7 @@
     CHECK(d.fleet().entries.size() == 2);
 }
 
-TEST_CASE("control passes on when its holder dies") {
+TEST_CASE("another entry takes the control lease over when its holder is killed") {
     deployment d;
     d.start_default();
     const std::string planner = d.fleet().planner;
@@ -90,9 +90,10 @@
     }));
 }
 
-TEST_CASE("an entry cut off from everybody delays a wave and goes on serving") {
-    // e2 can reach neither the platform nor its peers; its targets it can. The wave waits for it by name,
-    // while e2 still answers its zone's callers by what it knows.
+TEST_CASE(
+    "an entry that is partitioned from the platform and its peers delays a wave and still serves callers") {
+    // Guards against rebooting a VM that a partitioned entry still uses: e2 reaches its targets, but neither
+    // the platform nor its peers. The wave waits for e2, which serves its callers with its last known state.
     deployment d;
     d.start_default();
     if (d.fleet().planner == "e2") {
@@ -125,7 +126,7 @@
     }));
 }
 
-TEST_CASE("a zone cut from the platform follows a patch through its peers") {
+TEST_CASE("an entry that is partitioned from the platform receives a patch through its peers") {
     deployment d;
     d.start_default();
     d.platform.set_fault("e2", fakes::injected_fault::unresponsive);
@@ -134,7 +135,7 @@
         [&] { return field(d.send_operator_request("e2", "GET", "/v1/config"), "number") == "2"; }));
 }
 
-TEST_CASE("a graceful stop answers what is in progress and leaves the record") {
+TEST_CASE("a graceful stop completes requests in progress and removes the entry from the fleet record") {
     deployment d;
     d.start_default();
     std::shared_ptr<server_request> held_request;
@@ -159,9 +160,9 @@
     CHECK(d.fleet().find_entry("e2") == nullptr);
 }
 
-TEST_CASE("a planner's write whose answer is lost has one effect") {
-    // The cordon is in the store, but the planner was never told. It must find its own write, not cordon
-    // another VM and not undo the first.
+TEST_CASE("a planner's write whose answer is lost is applied once") {
+    // Guards against a second cordon: the write of a cordon is stored, but its answer is lost. The planner
+    // must find its own write, and neither cordon another VM nor undo the first cordon.
     deployment d;
     d.start_default();
     const std::string planner = d.fleet().planner;
@@ -185,7 +186,7 @@
     }));
 }
 
-TEST_CASE("a killed target's pool gets a free VM, and jobs there start again elsewhere") {
+TEST_CASE("the pool of a killed VM gets a free VM, and the killed VM's jobs restart on another VM") {
     deployment d;
     d.start_default();
     d.add_vm("w4");
@@ -205,7 +206,7 @@
     CHECK(d.jobs("h").find("sweep")->epoch == 2);
 }
 
-TEST_CASE("all entries restart at once while the platform is slow") {
+TEST_CASE("all entries become ready after a simultaneous restart while the platform is slow") {
     deployment d;
     d.start_default();
     d.platform.set_fault("", fakes::injected_fault::slow, 150ms);
