--- a/main/entry.hpp
+++ b/main/entry.hpp
@@ -20,7 +20,7 @@
     void start();
 
     /// Stops gracefully: rejects new requests, completes those in progress, removes this entry from the fleet
-    /// record, then calls `on_stopped`. Requests still in progress after the `drain_bound` setting are not
+    /// record, then calls `on_stopped`. Requests still in progress after the `drain_bound_ms` setting are not
     /// waited for. Further calls have no effect.
     void drain(std::function<void()> on_stopped);
 
--- a/main/siskinctl.cpp
+++ b/main/siskinctl.cpp
@@ -192,10 +192,10 @@
 int main(int argc, char** argv) {
     try {
         TCLAP::CmdLine command_line(
-            "Operators' tool of siskinpaddle. Commands: patch submit FILE --against N, patch check FILE "
-            "--against N, config show [N], status, pools, vms [--pool P], waves, jobs. The credential "
-            "is read from the environment variable SISKIN_CREDENTIAL. Exit codes: 0 good, 1 usage, "
-            "3 conflict, 4 refused, 5 unreachable, 6 outcome unknown.",
+            "Command-line tool for operators of siskinpaddle. Commands: patch submit FILE --against N, patch "
+            "check FILE --against N, config show [N], status, pools, vms [--pool P], waves, jobs. The "
+            "credential is read from the environment variable SISKIN_CREDENTIAL. Exit codes: 0 success, 1 "
+            "usage error, 3 conflict, 4 refused, 5 unreachable, 6 outcome unknown.",
             ' ', SISKINPADDLE_VERSION);
         TCLAP::ValueArg<std::string> address("a", "address", "IP address of an entry.", false, "127.0.0.1",
                                              "IP", command_line);
--- a/main/siskinpaddled.cpp
+++ b/main/siskinpaddled.cpp
@@ -29,12 +29,12 @@
 int main(int argc, char** argv) {
     try {
         TCLAP::CmdLine command_line(
-            "Entry process of siskinpaddle: serves callers and operators, and plans when it holds the "
-            "control lease. Exit codes: 0 good, 1 failed, 2 bad settings.",
+            "Entry process of siskinpaddle: serves callers and operators, and runs the "
+            "planner while it holds the control lease. Exit codes: 0 success, 1 failure, 2 invalid settings.",
             ' ', SISKINPADDLE_VERSION);
         TCLAP::ValueArg<std::string> config("c", "config", "Settings file (JSON).", true, "", "FILE",
                                             command_line);
-        TCLAP::SwitchArg check("", "check", "Only check the settings and print every finding.", command_line);
+        TCLAP::SwitchArg check("", "check", "Check the settings, print all findings and exit.", command_line);
         command_line.parse(argc, argv);
         const auto settings = load_settings(config.getValue(), parse_entry_settings, std::cerr);
         if (!settings) {
