--- a/bench/decision_bench.cpp
+++ b/bench/decision_bench.cpp
@@ -14,8 +14,8 @@
 constexpr std::int64_t vm_millicores = 32'000;
 constexpr milliseconds decision_interval{100};
 
-/// A pool in a steady state: jobs of ten tasks that run on its VMs, and as many handed in as end. Some of the
-/// tasks are suspected of crashing VMs.
+/// A pool in a steady state: jobs of ten tasks run on its VMs, and one job is submitted for each job that
+/// ends. Some of the tasks are suspected of crashing VMs.
 class steady_state_pool {
   public:
     steady_state_pool(std::size_t vms, std::size_t tasks, std::size_t suspects) : m_scheduler({}, 0, m_now) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Time that one decision takes, mean over so many steps; microseconds.
+    /// Returns the mean duration of one decision over `decision_count` decisions, in microseconds.
     double measure_decisions(std::size_t decision_count) {
         std::chrono::steady_clock::duration spent{0};
         for (std::size_t i = 0; i < decision_count; ++i) {
--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -15,11 +15,11 @@
 constexpr milliseconds failure_downtime = 4h;
 constexpr milliseconds rack_failure_downtime = 2h;
 constexpr milliseconds zone_failure_downtime = 1h;
-constexpr milliseconds decision_interval = 250ms; ///< Between two steps of the real planner.
+constexpr milliseconds decision_interval = 250ms; ///< Interval between two steps of the real planner.
 constexpr int max_rounds = 6;
 constexpr milliseconds transition_check_interval = 30s;
 constexpr milliseconds idle_check_interval =
-    5min; ///< The real planner looks four times a second; nothing would change.
+    5min; ///< The real planner runs four times a second; without VMs in transition a step changes nothing.
 
 std::string make_numbered_id(const char* prefix, int number) {
     std::string digits = std::to_string(10'000 + number);
@@ -56,10 +56,10 @@
     m_events.push({m_now + delay, ++m_event_sequence, kind, std::move(subject), epoch});
 }
 
-/// Builds pools and waves; returns the VMs that the pools hold together.
+/// Builds pools and waves; returns the total number of VMs in the pools.
 std::int64_t fleet_model::build_pools() {
-    // Promises differ from pool to pool; what is left of the fleet after the baseline's spares is promised,
-    // so the baseline just fits, and every policy is asked for the same promises.
+    // Promises differ from pool to pool. All VMs except the baseline's spares are promised, so the baseline
+    // needs the whole fleet, and every policy has to meet the same promises.
     std::int64_t remaining = m_shape.vms;
     std::vector<std::int64_t> promises;
     for (int i = 0; i < m_shape.pools; ++i) {
@@ -96,8 +96,8 @@
 }
 
 std::vector<std::string> fleet_model::compute_initial_pools() const {
-    // Baseline: pools one after another in the order of VMs. Ours: dealt round, so that a rack holds few of
-    // each.
+    // The baseline assigns VMs in order, one pool after another. The other policies assign VMs to the pools
+    // round-robin, so that a rack holds few VMs of each pool.
     std::vector<std::string> order;
     for (const auto& [name, pool] : m_config.pools) {
         order.insert(order.end(), static_cast<std::size_t>(pool.size), name);
@@ -265,8 +265,8 @@
             continue;
         }
         m_metrics.vm_moves += before->pool != vm.pool && !before->pool.empty() ? 1 : 0;
-        // Judged by the model's truth, not by the planner's count: a step that leaves fewer VMs up than
-        // promised.
+        // A planned breach is a step that leaves fewer VMs up than promised. The model's own state decides
+        // which VMs are up, not the planner's count.
         const bool is_taken_out = before->state == vm_state::serving && vm.state == vm_state::cordoned;
         if (!is_taken_out) {
             continue;
@@ -364,7 +364,7 @@
             m_now = at;
             handle_event(item);
             if (m_are_counts_stale) {
-                break; // A VM came or went: the planner sees that at its next step.
+                break; // A VM went down or returned; the planner handles it at its next step.
             }
         }
         if (!m_are_counts_stale) {
--- a/bench/fleet_model.hpp
+++ b/bench/fleet_model.hpp
@@ -9,31 +9,31 @@
 
 namespace siskinpaddle::bench {
 
-/// A fleet to decide on, and how it fails.
+/// Size of the simulated fleet and its failure rates.
 struct fleet_shape {
     int vms = 50;
     int pools = 5;
     int zones = 4;
     int vms_per_rack = 4;
-    double failures_per_day = 6;  ///< Machines that stay away for hours.
-    double restarts_per_day = 88; ///< Machines that are back after minutes.
+    double failures_per_day = 6;  ///< Machines that are down for hours.
+    double restarts_per_day = 88; ///< Machines that return after minutes.
     double rack_failures_per_month = 0.67;
     double zone_failures_per_month = 0.5;
 };
 
-/// The policy under measure: how pools are sized, waves cut and jobs placed.
+/// The policy under test: how pools are sized, how wide waves are and how jobs are placed.
 struct policy_choice {
     std::string name;
     planner_options planning;
     placement_options placing;
-    std::int64_t spare_percent = 0; ///< Spare VMs of each pool, above its promise.
+    std::int64_t spare_percent = 0; ///< Spare VMs of each pool, in percent of its promised VMs.
     std::int64_t min_spare_vms = 0;
-    std::int64_t shared_free_vms = 0;    ///< VMs in no pool.
-    std::int64_t wave_width_percent = 0; ///< Of a pool, out at once; at least one VM.
-    bool has_single_wave = false;        ///< One wave over the fleet, rather than one for each pool.
+    std::int64_t shared_free_vms = 0;    ///< VMs that belong to no pool.
+    std::int64_t wave_width_percent = 0; ///< VMs of the wave in maintenance at once; at least one VM.
+    bool has_single_wave = false;        ///< One wave over the fleet instead of one per pool.
 };
 
-/// What a run of five weeks showed.
+/// Results of five simulated weeks.
 struct policy_metrics {
     double buffer_ratio = 0;
     std::int64_t job_moves = 0;
@@ -44,7 +44,7 @@
     double failure_breach_vm_hours = 0;
     std::int64_t late_urgent = 0;
     double cpu_us_per_decision = 0;
-    // Beside them, so that none is bought with these.
+    // Reported with the values above, because a policy could improve those at the expense of these.
     std::int64_t vms = 0;
     std::int64_t promised = 0;
     std::int64_t vms_maintained = 0;
@@ -54,11 +54,11 @@
     std::int64_t jobs_left = 0;
 };
 
-/// Processor time of the calling thread.
+/// Returns the processor time of the calling thread, in seconds.
 [[nodiscard]] double cpu_seconds();
 
-/// Five weeks of one fleet under one policy: pure decisions over a counted clock, seeded failures and jobs. A
-/// model of the fleet's answers to the planner, not of machines or networks.
+/// Simulates five weeks of one fleet under one policy: runs the decision functions on a simulated clock, with
+/// seeded failures and jobs. Models what the fleet reports to the planner, not machines or networks.
 class fleet_model {
   public:
     fleet_model(const fleet_shape& shape, const policy_choice& choice, std::uint64_t seed);
@@ -100,7 +100,7 @@
 
     void build_fleet();
     [[nodiscard]] std::int64_t build_pools();
-    /// The pool of each VM at the start, in order of VMs.
+    /// Returns the initial pool of each VM, in the order of the VMs.
     [[nodiscard]] std::vector<std::string> compute_initial_pools() const;
     void assign_initial_pools(const std::vector<std::string>& pools);
     void schedule(milliseconds delay, event_kind kind, std::string subject = {}, std::uint64_t epoch = 0);
--- a/bench/fleet_model_jobs.cpp
+++ b/bench/fleet_model_jobs.cpp
@@ -17,7 +17,8 @@
     bool has_checkpoints;
 };
 
-/// Digests and forecasts of about an hour, sweeps of many, and a few urgent jobs of minutes.
+/// Daily jobs (digests, forecasts) of about an hour, patient jobs (sweeps) of many hours, and a few urgent
+/// jobs of minutes.
 const std::vector<job_class> job_classes{{job_urgency::urgent, 0.1, 5min, false},
                                          {job_urgency::daily, 0.6, 40min, false},
                                          {job_urgency::patient, 0.3, 8h, true}};
@@ -47,7 +48,7 @@
         job.kind = std::string(name_of(job_kind.urgency));
         job.urgency = job_kind.urgency;
         job.size = {job_cpu_millicores, 1'000, 0};
-        // Run times are far from what was declared: between a half and one and a half of it.
+        // Actual run times differ widely from the declared time: they are between 0.5 and 1.5 times as long.
         const double factor = 0.5 + m_random.next_double();
         simulated_job simulated;
         simulated.remaining = milliseconds(
@@ -104,12 +105,12 @@
         const vm_record* vm = m_fleet.find_vm(job.vm);
         if (vm == nullptr || vm->epoch > job.vm_epoch) {
             ended_epochs[job.vm] =
-                vm == nullptr ? UINT32_MAX : vm->epoch; // The model's leases run out at once.
+                vm == nullptr ? UINT32_MAX : vm->epoch; // Leases expire at once in this model.
         }
         has_work = has_work || vm == nullptr || vm->state != vm_state::serving;
     }
     if (!has_work) {
-        return false; // All run on serving VMs; there is nothing to decide.
+        return false; // Every job runs on a serving VM; there is nothing to decide.
     }
     const std::map<std::string, worker_health> workers;
     const placement_input input{m_config, m_fleet, pool,         m_jobs[pool], m_usage,
--- a/bench/load_bench.cpp
+++ b/bench/load_bench.cpp
@@ -16,7 +16,7 @@
 constexpr int vms = 3;
 constexpr int slots_per_vm = 8;
 constexpr milliseconds service_time = 20ms;
-/// What the targets can run, by their slots and service time: 1200 requests a second.
+/// Requests per second that all targets together can run, by their slots and service time: 1200.
 constexpr double capacity_per_second = vms * slots_per_vm * 1000.0 / 20;
 constexpr milliseconds load_duration = 6s;
 constexpr milliseconds stop_target_after = 2s;
@@ -33,8 +33,8 @@
     std::int64_t late = 0;
 };
 
-/// An entry with its targets and platform on a loop and thread of their own; a target dies and comes back
-/// meanwhile.
+/// Runs an entry, its targets and its platform on one event loop in the thread that calls run(). One target
+/// is stopped and restarted during the load.
 class system_under_load {
   public:
     explicit system_under_load(bool baseline, std::uint16_t base_port) : m_base_port(base_port) {
@@ -124,8 +124,8 @@
     entry_settings m_settings;
 };
 
-/// Open loop: requests leave at fixed times whatever became of the earlier ones, and their latency counts
-/// from then.
+/// Generates open-loop load: each request is sent at its scheduled time, even when earlier requests are still
+/// pending, and its latency counts from that time.
 load_result send_load(std::uint16_t port, std::uint16_t operators, double per_second) {
     event_loop loop;
     http_client_limits limits;
@@ -160,7 +160,7 @@
                            answer.code != 200) {
                     ++result.unknown;
                 } else if (latency > caller_deadline) {
-                    ++result.late; // Whole, but nobody waits for it any more.
+                    ++result.late; // Complete, but the caller's deadline has passed.
                 } else {
                     ++answered_in_time;
                     latencies.push_back(static_cast<double>(latency.count()));
@@ -201,7 +201,7 @@
 
 } // namespace
 
-/// Usage: bench_load. Ends with one line of JSON: per load and policy setting.
+/// Usage: bench_load. The last line of the output is JSON: the results per load factor and policy.
 int main() {
     start_event_log("load", event_level::error);
     boost::json::object out;
--- a/bench/policy_bench.cpp
+++ b/bench/policy_bench.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Fixed spare for each pool, one VM of it at a time, first fit, jobs stopped when their VM's turn comes.
+/// Baseline: fixed spares in each pool, one VM of a pool in maintenance at a time, first-fit placement, and
+/// all jobs of a VM stopped when its maintenance begins.
 policy_choice make_baseline_policy() {
     policy_choice choice;
     choice.name = "baseline";
@@ -26,7 +27,8 @@
     return choice;
 }
 
-/// Ours, with the buffer weighed most: one spare of its own for each pool, the rest shared.
+/// The project's policy, with weights that favour a small buffer: one spare VM in each pool, the others
+/// shared.
 policy_choice make_association_policy(const fleet_shape& shape) {
     policy_choice choice;
     choice.name = "association";
@@ -38,7 +40,8 @@
     return choice;
 }
 
-/// Ours, with moves weighed most: spares within the pools, patience with what may come back.
+/// The project's policy, with weights that favour few moves: spare VMs within the pools, and a longer delay
+/// before a VM that may return is replaced.
 policy_choice make_volta_policy(const fleet_shape& shape) {
     policy_choice choice = make_association_policy(shape);
     choice.name = "volta";
@@ -69,7 +72,7 @@
 
 } // namespace
 
-/// Usage: bench_policy [--seed N]. Ends with one line of JSON.
+/// Usage: bench_policy [--seed N] [--today]. The last line of the output is JSON.
 int main(int argc, char** argv) {
     try {
         TCLAP::CmdLine line("Five weeks of decisions over today's and the two-year fleet.", ' ', "1");
--- a/bench/slopes.cpp
+++ b/bench/slopes.cpp
@@ -19,7 +19,7 @@
     endpoint operators;
 };
 
-/// A process's own account.
+/// Processor time and memory of a process, and the metrics that the process reports.
 struct process_usage {
     double cpu_seconds = 0;
     double memory_mb = 0;
@@ -82,7 +82,7 @@
         return true;
     }
 
-    /// Milliseconds until `condition` holds, or -1 after two minutes.
+    /// Waits until `condition` holds. Returns the time taken in milliseconds, or -1 after two minutes.
     template <typename Condition>
     std::int64_t wait_until(Condition condition) {
         const timestamp began = event_loop::now();
@@ -240,7 +240,8 @@
     std::vector<entry_process> m_entries;
 };
 
-/// The document for a fleet of this size: four fifths of the VMs promised, an equal share for each pool.
+/// Returns the stored configuration for a fleet of this size: each pool has an equal share of the VMs and
+/// promises four fifths of it.
 std::string make_document(int vms, int pools, const std::string& digest) {
     boost::json::object pool_items;
     boost::json::object services;
@@ -274,7 +275,7 @@
     return (now() - began) / times;
 }
 
-/// Sizes and processor time of the pure parts, at one size of fleet.
+/// Prints the sizes of records and the processor time of the functions without I/O, for one fleet size.
 void print_parts(int vms, int pools) {
     configuration config;
     findings problems;
@@ -357,6 +358,7 @@
 
 /// Usage: bench_slopes parts | document VMS POOLS DIGEST | measure|storm PLATFORM_PORT VMS (PID CALLERS
 /// OPERATORS)...
+/// PID is an entry's process id; CALLERS and OPERATORS are its ports for callers and operators.
 int main(int argc, char** argv) {
     const std::string mode = argc > 1 ? argv[1] : "";
     if (mode == "parts") {
--- a/bench/slow_platform.cpp
+++ b/bench/slow_platform.cpp
@@ -2,7 +2,7 @@
 
 #include <iostream>
 
-/// Makes the stand-in platform answer late. Usage: slow_platform PORT DELAY_MS
+/// Makes the stand-in platform of the tests delay its answers. Usage: slow_platform PORT DELAY_MS
 int main(int argc, char** argv) {
     using namespace siskinpaddle;
     if (argc != 3) {
--- a/demo/caller_fleet.cpp
+++ b/demo/caller_fleet.cpp
@@ -83,7 +83,7 @@
     call.timeout = 8s;
     call.fresh_connection = true;
     m_client.send(std::move(call), [this, id, path, attempt](const http_answer& answer) {
-        // A balancer tries another entry when a connection can't be made; nothing was sent then.
+        // A load balancer tries another entry when a connection can't be made, since nothing was sent.
         if (answer.status == exchange_status::connect_failed && attempt < max_balancer_attempts) {
             send(id, path, attempt + 1);
             return;
--- a/demo/caller_fleet.hpp
+++ b/demo/caller_fleet.hpp
@@ -10,18 +10,18 @@
 
 namespace siskinpaddle::demo {
 
-/// What a caller knows of one of its requests at the end.
+/// Outcome of a request as far as its caller knows.
 enum class caller_outcome : std::uint8_t { pending, answered, not_run, unknown };
 
-/// One request as its caller remembers it.
+/// A caller's record of one request.
 struct request_record {
     std::string pool;
     bool is_repeatable = false;
     caller_outcome outcome = caller_outcome::pending;
-    bool answer_matches = true; ///< The answer names this very request and carries its body.
+    bool answer_matches = true; ///< The answer has code 200 and begins with the request's id.
 };
 
-/// A path that callers use, and the pool that must run it.
+/// A path that callers request, and the pool whose VMs must run its requests.
 struct caller_path {
     std::string method;
     std::string target;
@@ -29,15 +29,15 @@
     bool is_repeatable = false;
 };
 
-/// Callers behind a balancer: sends requests at fixed times to entries that say that they are ready, and
-/// notes what each caller was told. A caller that is told not-run does not ask again here, so every note is
-/// about one request.
+/// Simulates callers behind a load balancer: sends requests at a fixed interval to entries that report ready,
+/// and records the outcome of each. Callers don't retry a request with the outcome not-run, so each record
+/// covers one request.
 class caller_fleet {
   public:
     caller_fleet(event_loop& loop, std::vector<endpoint> entries, std::vector<caller_path> paths,
                  milliseconds interval);
 
-    /// Begins to ask the entries for their health, and goes on doing so.
+    /// Starts polling the entries' health; the polling continues while the event loop runs.
     void check_entries();
     void start();
     void stop() { m_stopped = true; }
@@ -47,7 +47,7 @@
     }
     [[nodiscard]] std::size_t count_pending() const;
     [[nodiscard]] std::size_t count_ready_entries() const;
-    /// Configuration number that each ready entry reported last.
+    /// Configuration number that each ready entry reported in its last health answer.
     [[nodiscard]] const std::map<endpoint, std::int64_t>& config_numbers() const noexcept {
         return m_config_numbers;
     }
--- a/demo/fleet_ledger.hpp
+++ b/demo/fleet_ledger.hpp
@@ -10,14 +10,16 @@
 
 namespace siskinpaddle::demo {
 
-/// What the store's own records said over the session, sampled, and what the targets' logs say at its end.
+/// Samples the records in the platform's store during the session, and counts moves, budget breaches and
+/// buffer VMs from them.
 class fleet_ledger {
   public:
     fleet_ledger(event_loop& loop, endpoint platform);
 
     void start();
 
-    /// A VM that the session has killed on purpose: a breach that it alone causes is no planned one.
+    /// Marks a VM that the session killed on purpose: the VM no longer counts as serving, whatever its record
+    /// in the store.
     void mark_killed(const std::string& vm) { m_killed_vms.insert(vm); }
 
     [[nodiscard]] const fleet_record& fleet() const noexcept { return m_fleet; }
@@ -53,20 +55,20 @@
     std::unique_ptr<timer> m_timer;
 };
 
-/// Sums over callers' notes and targets' logs.
+/// Totals over the callers' records and the targets' logs.
 struct request_totals {
     std::int64_t requests = 0;
     std::int64_t answered = 0;
     std::int64_t not_run = 0;
     std::int64_t unknown = 0;
-    std::int64_t lost = 0; ///< Answered, yet no target ran it, or never answered at all, or a wrong answer.
-    std::int64_t repeated = 0;      ///< Not repeatable, yet run more than once.
+    std::int64_t lost = 0;          ///< Answered but run by no target, never answered, or answered wrongly.
+    std::int64_t repeated = 0;      ///< Not repeatable, but run more than once.
     std::int64_t interrupted = 0;   ///< Ended by a planned stop of its target.
     std::int64_t wrong_pool = 0;    ///< Run on another pool's VM.
-    std::int64_t false_not_run = 0; ///< Told not-run, yet run.
+    std::int64_t false_not_run = 0; ///< Reported to the caller as not-run, but run.
 };
 
-/// Joins what callers were told with what the targets wrote down.
+/// Compares the outcomes that callers recorded with the runs that the targets logged.
 [[nodiscard]] request_totals sum_requests(const std::map<std::string, request_record>& requests,
                                           const std::vector<std::string>& target_logs);
 
--- a/demo/session.cpp
+++ b/demo/session.cpp
@@ -13,7 +13,7 @@
 constexpr milliseconds session_timeout = 110s;
 constexpr std::string_view credential = "association-credential-for-this-demonstration";
 
-/// Where the session's processes are; written by demo/run.sh.
+/// Ports, process ids and log files of the session's processes, from the file that demo/run.sh writes.
 struct session_settings {
     endpoint platform;
     std::vector<endpoint> callers;
@@ -50,7 +50,8 @@
     return settings;
 }
 
-/// Runs the demonstration step by step: each step begins something and says when it is over.
+/// Runs the demonstration step by step. Each step has a function that starts it and a function that returns
+/// whether it has ended.
 class session {
   public:
     session(event_loop& loop, session_settings settings)
@@ -256,7 +257,8 @@
         }
     }
 
-    /// A frozen process still holds its ports, so nothing may take it for gone; it wakes and serves again.
+    /// Pauses an entry with SIGSTOP. The paused process keeps its ports, so the fleet must not remove the
+    /// entry; the entry serves again after SIGCONT.
     void pause_entry() {
         print_progress("freeze entry 0 for 5 s");
         m_expected_entries = m_ledger.fleet().entries.size();
@@ -352,7 +354,7 @@
 
 } // namespace siskinpaddle::demo
 
-/// Usage: demo_session FILE, where FILE lists the processes as demo/run.sh started them.
+/// Usage: demo_session FILE, where FILE lists the processes that demo/run.sh started.
 int main(int argc, char** argv) {
     using namespace siskinpaddle;
     if (argc != 2) {
--- a/demo/store_put.cpp
+++ b/demo/store_put.cpp
@@ -3,7 +3,7 @@
 #include <iostream>
 #include <iterator>
 
-/// Writes standard input under a key that doesn't exist yet. Usage: store_put PLATFORM_PORT KEY
+/// Stores standard input under a key; fails if the key exists. Usage: store_put PLATFORM_PORT KEY
 int main(int argc, char** argv) {
     using namespace siskinpaddle;
     if (argc != 3) {
--- a/trial/platform_client.cpp
+++ b/trial/platform_client.cpp
@@ -35,7 +35,7 @@
     case 404:
         return store_status::absent;
     default:
-        // By the protocol a 5xx answer says that the call was not taken.
+        // By the platform's protocol, a 5xx answer means that the call wasn't applied.
         return answer.code >= 500 ? store_status::unreachable : store_status::conflict;
     }
 }
@@ -174,7 +174,7 @@
         state->done({failure, {}});
         return;
     }
-    // Jitter keeps the writers of one key, which all lost to the same swap, from meeting again.
+    // Jitter keeps writers that lost the same compare-and-swap from conflicting again.
     const milliseconds max_delay =
         std::min(max_backoff, initial_backoff * (1 << std::min(state->attempts, 6)));
     const milliseconds delay(1 + m_random.next_below(static_cast<std::uint64_t>(max_delay.count())));
--- a/trial/platform_client.hpp
+++ b/trial/platform_client.hpp
@@ -11,14 +11,14 @@
 
 namespace siskinpaddle {
 
-/// How a call to the platform ended.
+/// Result of a call to the platform.
 enum class store_status : std::uint8_t {
     ok,
-    unchanged, ///< A watch ended without a change.
+    unchanged, ///< A watch ended without a change, or the VM list is the same as at the last read.
     absent,
     conflict,    ///< The condition didn't hold; nothing was changed.
-    unreachable, ///< Certainly not applied.
-    unknown      ///< The answer is lost: it may have been applied.
+    unreachable, ///< Confirmed as not applied.
+    unknown      ///< No complete answer arrived: the call may have been applied.
 };
 
 template <>
@@ -30,7 +30,7 @@
     std::pair{store_status::unreachable, std::string_view("unreachable")},
     std::pair{store_status::unknown, std::string_view("unknown")}};
 
-/// A stored value and the store's version of it; version 0 means that there is none.
+/// A stored value and its version in the store; version 0 means that the key is absent.
 struct stored_value {
     std::uint64_t version = 0;
     std::string bytes;
@@ -38,10 +38,10 @@
 
 struct store_answer {
     store_status status = store_status::unreachable;
-    stored_value value; ///< With `ok` of a read; of a write only the version.
+    stored_value value; ///< Set when a read ends with `ok`; after a write only the version is set.
 };
 
-/// Outcome of asking for a lease.
+/// Result of a request to acquire a lease.
 struct lease_answer {
     store_status status = store_status::unreachable;
     bool is_held = false;
@@ -49,7 +49,7 @@
     std::uint64_t term = 0;
 };
 
-/// Counts of what this process asked of the platform.
+/// Counts of this process's calls to the platform, by kind.
 struct platform_usage {
     std::uint64_t reads = 0;
     std::uint64_t writes = 0;
@@ -57,8 +57,8 @@
     std::uint64_t lists = 0;
 };
 
-/// Speaks to the platform. Every call ends in exactly one callback from the loop. Calls are not repeated
-/// here, but for update(): only the caller knows whether repeating is safe.
+/// HTTP client of the platform. Every call ends in exactly one callback from the event loop. Only update()
+/// retries; for the other calls only the caller knows whether a retry is safe.
 class platform_client {
   public:
     platform_client(event_loop& loop, endpoint platform, std::string caller);
@@ -70,30 +70,30 @@
     /// Waits at most `wait` for a version above `after`.
     void watch(const std::string& key, std::uint64_t after, milliseconds wait, store_callback done);
 
-    /// Writes if the stored version is `expected` (0: absent). With `ttl` above 0 the platform drops the
-    /// value after that time.
+    /// Writes `bytes` if the stored version is `expected` (0: absent). With `ttl` above 0 the platform
+    /// deletes the value after that time.
     void put(const std::string& key, std::uint64_t expected, std::string bytes, milliseconds ttl,
              store_callback done);
 
-    /// Builds the next value from the current one, or nothing when there is nothing (more) to write.
+    /// Returns the next value, built from the current one, or nothing if no write is needed.
     using mutation = std::function<std::optional<std::string>(const stored_value& current)>;
 
-    /// Reads, applies `change` and compare-and-swaps until it is through or has nothing to write; on
-    /// conflicts and lost answers it reads again. `change` must find its own effect in a value that already
-    /// has it and return nothing then: that settles a lost answer by reading, not by guessing. `known` saves
-    /// the first read. Ends with `ok` and the value in force, or with the failure that outlasted the
-    /// attempts.
+    /// Reads the value, applies `change` and writes the result with a compare-and-swap, until a write
+    /// succeeds or `change` returns nothing. Reads again after a conflict or a failed call. `change` must
+    /// return nothing for a value that already contains its effect, so that the next read shows whether a
+    /// write whose answer was lost has been applied. `known` saves the first read. Reports `ok` and the
+    /// stored value, or the status of the last failed attempt.
     void update(const std::string& key, std::optional<stored_value> known, mutation change,
                 store_callback done);
 
     void acquire_lease(const std::string& name, milliseconds ttl, std::function<void(lease_answer)> done);
     void release_lease(const std::string& name);
 
-    /// Reads the VM list. `unchanged` says that it is the one read last; then no list comes with it.
+    /// Reads the VM list. Reports `unchanged` with an empty list if the list is the same as at the last read.
     void list_vms(std::function<void(store_status, std::vector<listed_vm>)> done);
-    /// Asks for the whole list again next time.
+    /// Makes the next list_vms() read the whole list even if it is unchanged.
     void reset_list_tag() { m_list_tag.clear(); }
-    /// Bytes of the list that was read last.
+    /// Size of the list that was read last, in bytes.
     [[nodiscard]] std::size_t list_bytes() const noexcept { return m_list_bytes; }
     void reboot(const reboot_action& action, std::function<void(store_status)> done);
 
@@ -101,7 +101,7 @@
     [[nodiscard]] std::uint64_t transferred_bytes() const noexcept {
         return m_client.bytes_sent() + m_client.bytes_received();
     }
-    /// Whether the latest ended call got an answer.
+    /// Whether the call that ended last got an answer with a code below 500.
     [[nodiscard]] bool is_reachable() const noexcept { return m_is_reachable; }
 
   private:
--- a/trial/task_protocol.hpp
+++ b/trial/task_protocol.hpp
@@ -8,7 +8,7 @@
 
 namespace siskinpaddle {
 
-/// What a worker shall do with a task.
+/// Order to a worker for one task.
 enum class task_order : std::uint8_t { run, checkpoint_and_stop, stop };
 
 template <>
@@ -17,9 +17,9 @@
     std::pair{task_order::checkpoint_and_stop, std::string_view("checkpoint-and-stop")},
     std::pair{task_order::stop, std::string_view("stop")}};
 
-/// How a worker reports a task.
+/// State of a task as reported by its worker.
 enum class task_state : std::uint8_t {
-    absent, ///< Not known there, and never will run under this epoch.
+    absent, ///< Unknown to the worker, which will never run the task under this epoch.
     running,
     done,
     failed,
@@ -34,8 +34,8 @@
     std::pair{task_state::failed, std::string_view("failed")},
     std::pair{task_state::stopped, std::string_view("stopped")}};
 
-/// One task in a call to a worker. The epoch tells a later assignment of the job from an earlier one: a
-/// worker never starts an epoch again that it has ended, and refuses older ones.
+/// One task in a call to a worker. The epoch distinguishes successive assignments of a job: a worker never
+/// restarts an epoch that has ended on it, and refuses older epochs.
 struct task_call {
     std::string job;
     std::uint32_t epoch = 0;
@@ -45,7 +45,7 @@
     job_size size;
 };
 
-/// One task in a worker's answer. Usage lags behind.
+/// One task in a worker's answer. The reported usage lags behind the actual usage.
 struct task_report {
     std::string job;
     std::uint32_t epoch = 0;
@@ -53,7 +53,7 @@
     job_size used;
 };
 
-/// A worker's answer.
+/// A worker's answer: the boot count of its VM and the states of its tasks.
 struct worker_answer {
     std::uint64_t boot = 0;
     std::vector<task_report> tasks;
--- a/trial/trial.hpp
+++ b/trial/trial.hpp
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Public header of the platform library: the client of the platform's key-value service, VM list, reboots
-/// and workers, by the HTTP protocol in docs/PLATFORM.md. It belongs to the thread of its event loop.
+/// Public header of the platform client library: clients of the platform's key-value service, VM list,
+/// reboots and workers. The HTTP protocol is described in docs/PLATFORM.md. Not thread-safe: each client must
+/// be used only from the thread of its event loop.
 
 #include "trial/platform_client.hpp"
 #include "trial/task_protocol.hpp"
--- a/trial/worker_client.hpp
+++ b/trial/worker_client.hpp
@@ -7,15 +7,16 @@
 
 namespace siskinpaddle {
 
-/// Calls the task agents of workers: one call per VM carries all its tasks, starts, renews and stops them.
+/// Client of the workers' task agents: one call per VM carries all its tasks, and starts, renews or stops
+/// them.
 class worker_client {
   public:
     worker_client(event_loop& loop, std::string caller) : m_caller(std::move(caller)), m_client(loop) {}
 
     using callback = std::function<void(exchange_status, worker_answer)>;
 
-    /// Every `run` task that stands in `calls` has its lease renewed for `lease` from the call's arrival.
-    /// Repeating a call is harmless: tasks are known by job and epoch.
+    /// Renews the lease of every `run` task in `calls`; the new lease lasts for `lease` from the arrival of
+    /// the call. A call may be repeated safely, because tasks are identified by job and epoch.
     void sync(const endpoint& agent, const std::vector<task_call>& calls, milliseconds lease, callback done);
 
     [[nodiscard]] std::uint64_t transferred_bytes() const noexcept {
