--- a/soak/child_process.cpp
+++ b/soak/child_process.cpp
@@ -20,7 +20,7 @@
 child_process::child_process(const std::string& program, const std::vector<std::string>& arguments,
                              const std::string& log_path) {
     std::vector<char*> argv_pointers{
-        const_cast<char*>(program.c_str())}; // NOLINT: posix_spawn changes nothing
+        const_cast<char*>(program.c_str())}; // NOLINT: posix_spawn does not modify it
     for (const std::string& item : arguments) {
         argv_pointers.push_back(const_cast<char*>(item.c_str())); // NOLINT: as above
     }
--- a/soak/child_process.hpp
+++ b/soak/child_process.hpp
@@ -6,25 +6,25 @@
 
 namespace siskinpaddle::soak {
 
-/// A process that this one started, and the only kind that it sends signals to. Killed when destroyed. Not
-/// thread-safe.
+/// A process started by the soak. The soak sends signals to such processes only. The destructor kills the
+/// process. Not thread-safe.
 class child_process {
   public:
-    /// Starts `program`; its standard output and error are appended to `log`. running() is false if that
-    /// failed.
+    /// Starts `program` and appends its standard output and error to the file `log_path`. is_running()
+    /// returns false if the start failed.
     child_process(const std::string& program, const std::vector<std::string>& arguments,
                   const std::string& log_path);
     ~child_process();
     child_process(const child_process&) = delete;
     child_process& operator=(const child_process&) = delete;
 
-    /// Whether it has not ended yet.
+    /// Whether the process is running. Collects the exit status of a process that has ended.
     [[nodiscard]] bool is_running();
-    /// Does nothing once the process has ended.
+    /// Sends a signal. Has no effect once the process has ended.
     void signal(int signal_number);
-    /// Ends it at once and waits for that.
+    /// Sends SIGKILL and waits until the process has ended.
     void kill();
-    /// Exit code, or 128 and the signal's number. Precondition: !running().
+    /// Exit code, or 128 plus the signal number. Precondition: !is_running().
     [[nodiscard]] int exit_code() const noexcept { return m_exit_code; }
 
   private:
--- a/soak/fault_plan.cpp
+++ b/soak/fault_plan.cpp
@@ -7,30 +7,32 @@
 
 namespace {
 
-/// Between two moments at which faults begin; shorter than most faults last, so that they overlap.
+/// Maximum time between two starts of random faults. Most faults last longer, so that faults overlap.
 constexpr std::int64_t max_gap_ms = 1500;
-/// One moment in so many has several faults at once.
+/// At one start time in so many, several faults start together.
 constexpr std::uint32_t burst_one_in = 3;
 constexpr std::uint32_t max_faults_in_burst = 3;
-/// From below a retry's pause to past the leases of the store and the time that an owner acts beyond them.
+/// From less than a retry delay to more than the store's leases plus the time that an owner acts beyond them.
 constexpr std::int64_t min_fault_ms = 200;
 constexpr std::int64_t max_fault_ms = 8000;
 
-/// Kinds that are drawn by themselves, so that they leave the rest of a seed's plan as it is.
+/// Kinds with a periodic schedule and a random sequence of their own, so that they don't change the random
+/// faults of a seed.
 constexpr std::size_t periodic_kinds = 7;
 constexpr std::size_t random_kinds = enum_names<fault_kind>.size() - periodic_kinds;
-/// Another sequence than that of the seed itself.
+/// Combined with the seed, so that periodic faults use a different random sequence.
 constexpr std::uint64_t inbox_fault_seed = 0x510;
 constexpr std::uint64_t vm_fault_seed = 0x5148;
-/// Slow nodes begin so often, from the first two seconds of each such part of the plan on, and stay so for 6
-/// to 9 s: past the time after which a count must hold a job, with a burst of jobs in it. Mostly two are slow
-/// at a time, so that the owner of the three nodes' one pool is often among them and an entry is not.
+/// One node becomes slow per interval, at a random time in its first two seconds, for 6 to 9 s. That is
+/// longer than the time after which a count must include a job, and includes a burst of jobs. Mostly two of
+/// the three nodes are slow at a time, so that the owner of their only pool is often slow while an entry is
+/// not.
 constexpr std::int64_t slow_interval_ms = 3750;
 constexpr std::int64_t slow_start_window_ms = 2000;
 constexpr std::int64_t min_slow_ms = 6000;
 constexpr std::int64_t max_slow_ms = 9000;
-/// Records of jobs are held once in each such part of the plan, from its first four seconds on, for 8 to 10
-/// s: past the time after which a count must hold a job by some seconds, with a burst of jobs among them.
+/// Writes of job records are held once per interval, starting in its first four seconds, for 8 to 10 s. That
+/// is some seconds longer than the time after which a count must include a job, and includes a burst of jobs.
 constexpr std::int64_t hold_interval_ms = 15'000;
 constexpr std::int64_t hold_start_window_ms = 4000;
 constexpr std::int64_t min_hold_ms = 8000;
@@ -41,7 +43,7 @@
            kind == fault_kind::new_configuration;
 }
 
-/// Where a fault that is drawn by itself may begin in each part of a plan, and how long it may last.
+/// When a periodic fault may start within each interval of a plan, and how long it may last.
 struct periodic_schedule {
     std::int64_t interval_ms = 0;
     std::int64_t start_window_ms = 0;
@@ -66,8 +68,8 @@
     }
 }
 
-/// Answers an owner that renews its claim and answers calls, and is seconds behind with the jobs that entries
-/// left in the inbox: its processor time is used up, or the store holds its writes.
+/// Adds faults during which an owner renews its claim and answers calls, but transfers jobs from the inbox
+/// seconds late: the owner lacks processor time, or the store holds its writes.
 void add_inbox_faults(std::vector<planned_fault>& plan, std::uint64_t seed, milliseconds length) {
     std::mt19937_64 random(seed ^ inbox_fault_seed);
     add_periodic_faults(plan, fault_kind::node_slow,
@@ -76,7 +78,8 @@
                         {hold_interval_ms, hold_start_window_ms, min_hold_ms, max_hold_ms}, random, length);
 }
 
-/// What VMs do beside crashing. Shrunk ones stay so past the time after which a shrunk capacity counts.
+/// Adds VM faults other than crashes, and reloads of nodes. A VM stays shrunk for longer than the time after
+/// which the smaller capacity is in force.
 void add_vm_faults(std::vector<planned_fault>& plan, std::uint64_t seed, milliseconds length) {
     constexpr std::array schedules{
         std::pair{fault_kind::vm_shrinks, periodic_schedule{5000, 3000, 5000, 9000}},
@@ -95,7 +98,7 @@
 
 std::vector<planned_fault> make_plan(std::uint64_t seed, milliseconds length) {
     std::mt19937_64 random(seed);
-    // Not the library's distributions: their results differ from one library to the next.
+    // The results of the standard library's distributions differ between implementations.
     const auto random_below = [&random](std::uint64_t bound) { return random() % bound; };
     std::vector<planned_fault> plan;
     milliseconds start_offset(0);
--- a/soak/fault_plan.hpp
+++ b/soak/fault_plan.hpp
@@ -32,28 +32,29 @@
     store_compact,
     store_leases_lapse,
     new_configuration,
-    // These are not drawn like the others: see make_plan().
-    node_slow,        ///< It gets the processor for moments only.
-    store_holds_jobs, ///< Writes of jobs' records have no answer until it is over; all else goes on.
-    vm_shrinks,       ///< The VM has less room until it is over, and says so.
-    vm_fails_runs,    ///< All runs on the VM end as failed.
-    vm_late_orders,   ///< The VM carries some starts out late and stops not at all, without an answer.
-    vm_drains,        ///< The VM says that it will leave, and leaves.
-    node_reloads      ///< Its settings file may have changed.
+    // Scheduled periodically instead of drawn at random, see make_plan().
+    node_slow,        ///< The node is stopped most of the time, so that it gets little processor time.
+    store_holds_jobs, ///< Writes of job records wait until the fault ends; other calls are answered.
+    vm_shrinks,       ///< The VM reports a smaller capacity until the fault ends.
+    vm_fails_runs,    ///< All runs on the VM fail.
+    vm_late_orders,   ///< The VM executes some starts late, loses some stops, and answers none of them.
+    vm_drains,        ///< The VM reports that it drains, and terminates when the fault ends.
+    node_reloads      ///< The node gets SIGHUP and reads its settings file again.
 };
 
 /// One fault of a plan.
 struct planned_fault {
-    milliseconds start_offset{0}; ///< From the begin of the load.
-    milliseconds duration{0};     ///< Until it is mended; 0 where it happens at a moment.
+    milliseconds start_offset{0}; ///< Since the start of the load.
+    milliseconds duration{0};     ///< Until the fault is reverted; 0 for a fault without duration.
     fault_kind kind = fault_kind::node_kill;
-    std::uint32_t target = 0; ///< Which node or VM, modulo their number.
+    std::uint32_t target = 0; ///< Index of the node or VM, modulo their number.
 
     bool operator==(const planned_fault&) const = default;
 };
 
-/// Faults in series, some of them several at a time, over `length`, and beside them what keeps jobs in the
-/// pool's inbox. The same seed gives the same plan. Pure; thread-safe.
+/// Returns a plan over `length`, sorted by start: random faults, some of them starting together, and periodic
+/// faults that keep jobs in the pool's inbox, disturb VMs or reload nodes. The same seed gives the same plan.
+/// Pure; thread-safe.
 [[nodiscard]] std::vector<planned_fault> make_plan(std::uint64_t seed, milliseconds length);
 
 } // namespace siskinpaddle::soak
--- a/soak/fault_proxy.cpp
+++ b/soak/fault_proxy.cpp
@@ -21,7 +21,7 @@
     return result;
 }
 
-/// Makes the socket's close a reset.
+/// Makes closing the socket send a TCP reset.
 void reset_on_close(int socket) {
     const linger hard{1, 0};
     setsockopt(socket, SOL_SOCKET, SO_LINGER, &hard, sizeof(hard));
@@ -29,7 +29,7 @@
 
 } // namespace
 
-/// One connection through the proxy: two sides, each with what waits for its delay.
+/// One connection through the proxy: a socket to either side, and the bytes whose delay has not passed yet.
 class fault_proxy::proxied_connection {
   public:
     proxied_connection(fault_proxy& proxy, int socket)
@@ -163,7 +163,7 @@
 }
 
 void fault_proxy::remove_connection(const proxied_connection* ended) {
-    // Not from inside the link's own callback.
+    // The connection must not be destroyed from within its own callback.
     m_loop.post([this, ended, alive = m_lifetime.weak_token()] {
         if (!alive.expired()) {
             m_connections.remove_if([&](const auto& item) { return item.get() == ended; });
--- a/soak/fault_proxy.hpp
+++ b/soak/fault_proxy.hpp
@@ -9,19 +9,19 @@
 
 namespace siskinpaddle::soak {
 
-/// What a link does to the connections over it.
+/// What the proxy does to its connections.
 enum class link_mode : std::uint8_t {
     pass,
-    delay,          ///< Bytes arrive later, in order.
-    reset,          ///< Open connections are reset, new ones at once.
-    drop_to_server, ///< Bytes towards the server are lost.
-    drop_to_client, ///< Bytes of the server are lost.
-    drop_all        ///< Bytes of both sides are lost.
+    delay,          ///< Forwards bytes later, in order.
+    reset,          ///< Resets open connections, and new ones when they are accepted.
+    drop_to_server, ///< Discards bytes to the server.
+    drop_to_client, ///< Discards bytes to the client.
+    drop_all        ///< Discards bytes in both directions.
 };
 
-/// A link on loopback between a client and a server. A connection that has lost bytes stays silent until it
-/// is closed, also when the link is well again: its end could not make sense of what comes after. Not
-/// thread-safe.
+/// TCP proxy on loopback that injects link faults between clients and a server. A connection that has lost
+/// bytes in one direction forwards nothing more in that direction, also after the mode is `pass` again: the
+/// receiver could not parse a stream with a gap. Not thread-safe.
 class fault_proxy {
   public:
     fault_proxy(event_loop& loop, endpoint server);
@@ -29,10 +29,10 @@
     fault_proxy(const fault_proxy&) = delete;
     fault_proxy& operator=(const fault_proxy&) = delete;
 
-    /// Listens on a free port of the loopback address; 0 if that failed.
+    /// Listens on a free port of the loopback address and returns the port; 0 on failure.
     [[nodiscard]] std::uint16_t listen();
     void set_mode(link_mode mode, milliseconds delay = milliseconds(0));
-    /// Where connections go from now on.
+    /// Sets the server for new connections.
     void set_server(endpoint server) { m_server = std::move(server); }
 
   private:
--- a/soak/invariant_checks.cpp
+++ b/soak/invariant_checks.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// The users' bound on a task that crashes its VMs.
+/// Requirement: number of crashes after which a task that crashes its VMs must not be started repeatedly.
 constexpr std::size_t max_crashes = 3;
 constexpr std::size_t too_many_starts = 3;
-/// Of the task of a faulty job that crashes its VMs.
+/// End of the identifier of the task that crashes its VMs, in a faulty job.
 constexpr std::string_view faulty_task_suffix = ".0.0.0";
 
 std::string job_of(const std::string& task) {
@@ -26,7 +26,8 @@
            " " + item.run.outcome + " ack " + std::to_string(item.run.acknowledged.count()) + "]";
 }
 
-/// No task runs twice at a time, or again after an end as done that was acknowledged.
+/// Checks that no two runs of a task overlap, and that none starts after the end of a successful run was
+/// acknowledged.
 void check_no_duplicate_runs(const std::vector<vm_run>& of_task, timestamp now,
                              std::vector<std::string>& violations) {
     for (std::size_t i = 0; i < of_task.size(); ++i) {
@@ -57,17 +58,17 @@
     }
 }
 
-/// Runs on the VM when this one began, it included.
+/// Returns the number of runs on the VM when `item` started, including `item`.
 std::int64_t count_concurrent_runs(const std::vector<vm_run>& of_vm, const vm_run& item, timestamp now) {
     return std::ranges::count_if(of_vm, [&](const vm_run& other) {
         return other.run.started_at <= item.run.started_at && end_of(other.run, now) > item.run.started_at;
     });
 }
 
-/// The most that the VM said within `lag` before the moment.
+/// Returns the largest capacity that was in force for the VM within `lag` before `at`.
 std::int64_t max_reported_capacity(const std::string& vm, const std::vector<fakes::vm_capacity>& capacities,
                                    timestamp at, milliseconds lag) {
-    std::int64_t previous_capacity = 0; ///< When the time began.
+    std::int64_t previous_capacity = 0; ///< Capacity in force at `at - lag`.
     std::int64_t max_recent_capacity = 0;
     for (const fakes::vm_capacity& item : capacities) {
         if (item.vm != vm || item.valid_from > at) {
@@ -94,7 +95,7 @@
     }
 }
 
-/// When each job's first task began at a VM; of jobs that have begun.
+/// When the first task of each started job started on a VM, by job.
 using first_starts = std::map<std::string, timestamp>;
 
 first_starts find_first_starts(const std::vector<vm_run>& runs) {
--- a/soak/load_generator.cpp
+++ b/soak/load_generator.cpp
@@ -13,35 +13,36 @@
 
 constexpr milliseconds iteration_interval = 60ms;
 constexpr milliseconds client_deadline = 3s;
-/// A submit without a definite answer is sent again this often, at any node.
+/// How often a submit is sent in total, each time to a random node, while its outcome is unknown.
 constexpr std::uint32_t max_submit_attempts = 6;
 constexpr std::uint64_t probe_interval_iterations = 5;
-/// Each node is asked for the queue's count every 0.5 s: several times in the age that a count may have.
+/// Queries each node for the queue's count every 0.5 s, several times within the allowed age of a count.
 constexpr std::uint64_t count_interval_iterations = 8;
-/// Bursts, so that accepted jobs wait for seconds: each 4.8 s, a second long. The VMs end at most 60 tasks a
-/// second; with the bursts 83 come on average.
+/// Bursts make accepted jobs wait for seconds. One starts every 4.8 s and takes one second. The VMs finish at
+/// most 60 tasks a second; with the bursts, 83 tasks a second are submitted on average.
 constexpr std::uint64_t burst_interval_iterations = 80;
 constexpr std::uint64_t burst_iterations = 16;
 constexpr std::uint64_t jobs_per_burst_iteration = 6;
-/// Jobs of the burst after all faults: 400 tasks on average, of which the VMs begin 60 a second.
+/// Jobs of the burst after all faults: 400 tasks on average, of which the VMs start 60 a second.
 constexpr std::uint64_t final_burst_jobs = 160;
 constexpr std::uint32_t max_tasks = 4;
 constexpr std::uint32_t cancel_one_in = 8;
-/// One job in so many runs until it is cancelled; by then they hold a sixth of the room of four VMs.
+/// One job in so many runs until it is cancelled. Together these jobs use a sixth of the capacity of four
+/// VMs.
 constexpr std::uint32_t long_running_one_in = 24;
-/// One job in so many has a task that crashes every VM that starts it.
+/// One job in so many has a task that crashes each VM on which it starts.
 constexpr std::uint64_t faulty_one_in = 60;
 constexpr std::uint64_t faulty_seed = 0xfa;
-/// Longer than an owner's lease, so that most of them see a change of owner.
+/// Longer than an owner's lease, so that most long-running jobs live through a takeover of their pool.
 constexpr milliseconds long_running_duration = 4s;
-/// How long after a job's acceptance every node that answers for its pool must know it.
+/// Time after a job's acceptance within which each node that answers for the job's pool must know the job.
 constexpr milliseconds visible_within = 3s;
 constexpr int ok = 200;
 constexpr int job_unknown = 410;
 constexpr int no_such_queue = 404;
 constexpr int too_many = 429;
 constexpr int unavailable = 503;
-constexpr int internal_error = 500; ///< Says neither that a job is kept nor that it won't run.
+constexpr int internal_error = 500; ///< Leaves open whether the job is stored and whether it will run.
 
 std::string encode_body(const job_history& job) {
     jobs::job_spec spec;
@@ -61,7 +62,7 @@
     return std::string(quotes_prefix) + job;
 }
 
-/// The one number that an answer to the question for a count holds.
+/// Returns the only number in the answer to a count query.
 std::size_t parse_count(const std::string& body) {
     const boost::json::value document = boost::json::parse(body);
     return document.as_object().begin()->value().to_number<std::size_t>();
@@ -123,7 +124,7 @@
         }
     }
     cancel_long_running();
-    // One job a turn is asked for, and all of them again and again.
+    // Queries one random unfinished job in each iteration, so that each job is queried repeatedly.
     std::vector<std::string> open = unfinished_jobs(m_jobs);
     if (!open.empty()) {
         query_job(open[m_random() % open.size()]);
@@ -175,7 +176,7 @@
         return;
     }
     const bool refused = answered && (answer.code == too_many || answer.code == unavailable);
-    // Connections that break before a byte is sent carry nothing.
+    // A connection that fails before a byte is sent can't have delivered the submit.
     job.may_run = job.may_run || (!refused && answer.status != exchange_status::connect_failed);
     if (!refused && attempt < max_submit_attempts) {
         submit(id, attempt + 1);
@@ -193,7 +194,7 @@
     });
 }
 
-/// What runs until it is cancelled is cancelled in the end, again and again until that is answered.
+/// Cancels long-running jobs that have run long enough, and retries until the cancellation is confirmed.
 void load_generator::cancel_long_running() {
     for (const auto& [id, job] : m_jobs) {
         const bool has_run_long_enough =
@@ -242,8 +243,8 @@
          });
 }
 
-/// Asks a node for the queue that only the newest version has, and, once that was seen, for one that only the
-/// version before had.
+/// Queries the queue that exists only in the newest configuration version. Once that version was observed on
+/// the node, half of the probes query the queue of the previous version instead.
 void load_generator::probe_configuration(std::uint32_t node) {
     observed_configuration& seen = m_observed_configurations[node];
     if (seen.incarnation != m_cluster.incarnation_of(node)) {
--- a/soak/load_generator.hpp
+++ b/soak/load_generator.hpp
@@ -6,33 +6,33 @@
 
 namespace siskinpaddle::soak {
 
-/// Clients of the nodes: they hand jobs in, ask for them, cancel some, and ask how many wait and which
-/// configuration is in force. They keep their connections open and use them until they break. Not
+/// Simulates clients of the nodes: submits jobs, queries them, cancels some, and queries the number of
+/// waiting jobs and the configuration in force. Connections are kept open and reused until they break. Not
 /// thread-safe.
 class load_generator {
   public:
     load_generator(event_loop& loop, test_cluster& cluster, std::uint64_t seed);
 
-    /// Hands jobs in from now on.
+    /// Starts submitting jobs periodically.
     void start();
-    /// Hands no more in; goes on asking for what was accepted, and cancels what doesn't end by itself.
+    /// Stops submitting jobs. Accepted jobs are still queried, and long-running ones are cancelled.
     void stop_submitting() { m_submitting = false; }
-    /// Hands in at once more jobs than the VMs begin within seconds, all of which end by themselves.
+    /// Immediately submits more jobs than the VMs can start within seconds. None of them is long-running.
     void submit_burst();
 
     [[nodiscard]] const std::map<std::string, job_history>& jobs() const noexcept { return m_jobs; }
     [[nodiscard]] const std::vector<std::string>& problems() const noexcept { return m_problems; }
-    /// Nodes on which the newest configuration was seen.
+    /// Number of nodes on which the newest configuration was observed.
     [[nodiscard]] std::size_t count_up_to_date_nodes() const;
-    /// Whether the outcome of every submit is known, or won't be.
+    /// Whether no submit is in flight: each outcome is known, or all attempts for it are used up.
     [[nodiscard]] bool all_submits_resolved() const;
-    /// Counts of waiting jobs, in the order of their answers.
+    /// Reported counts of waiting jobs, in the order in which the answers arrived.
     [[nodiscard]] const std::vector<reported_count>& counts() const noexcept { return m_counts; }
-    /// Answers by their code; 0: none.
+    /// Number of answers by status code; 0 counts calls without an answer.
     [[nodiscard]] const std::map<int, std::size_t>& answers() const noexcept { return m_answers; }
 
   private:
-    /// What was seen of one process of a node.
+    /// Newest configuration observed on one process of a node.
     struct observed_configuration {
         std::uint32_t incarnation = 0;
         std::int64_t version = 0;
@@ -45,7 +45,7 @@
     void submit(const std::string& id, std::uint32_t attempt);
     void process_submit_answer(const std::string& id, std::uint32_t attempt, const http_answer& answer);
     void query_job(const std::string& id);
-    /// `failed_before`: the job had been shown as failed when it was asked for.
+    /// `was_shown_failed`: the job had been shown as failed before this query was sent.
     void process_job_answer(const std::string& id, bool was_shown_failed, const http_answer& answer);
     void cancel(const std::string& id);
     void cancel_long_running();
@@ -64,7 +64,7 @@
     http_client m_client;
     std::unique_ptr<timer> m_timer;
     std::mt19937_64 m_random;
-    std::mt19937_64 m_faulty_random; ///< Apart, so that the rest of a seed's calls stays as it is.
+    std::mt19937_64 m_faulty_random; ///< Separate, so that a seed's other calls don't change.
     std::map<std::string, job_history> m_jobs;
     std::vector<observed_configuration> m_observed_configurations;
     std::vector<reported_count> m_counts;
--- a/soak/soak.cpp
+++ b/soak/soak.cpp
@@ -14,23 +14,25 @@
 constexpr int exit_usage_error = 2;
 constexpr milliseconds update_interval = 50ms;
 constexpr milliseconds check_interval = 1s;
-/// From the end of the last fault until all accepted jobs must be done and the newest configuration in force:
-/// the longest that a new owner waits for VMs (10.7 s), the leases of both owners before it, the work, and as
-/// much again for a busy machine.
+/// Time after the end of the last fault within which all accepted jobs must be finished and the newest
+/// configuration must be in force: the maximum time that a new owner waits for VMs (10.7 s), the leases of
+/// both previous owners, the execution of the jobs, and the sum of these again for a busy machine.
 constexpr milliseconds recovery_timeout = 60s;
 constexpr std::size_t max_problems_shown = 20;
 
-/// The stand-in VMs have 4000 millicores, a task needs 500.
+/// A fake VM has 4000 millicores; a task needs 500.
 constexpr check_bounds bounds{.max_runs_per_vm = 8, .max_start_after_cancel = 15s};
-/// Once all faults are over an owner knows a job before its client does; the rest is for a busy machine.
+/// Without faults, the owner knows a job before the client gets the answer; `visible_within` is slack for a
+/// busy machine.
 constexpr check_bounds final_bounds{
     .max_runs_per_vm = 8, .max_start_after_cancel = 15s, .visible_within = milliseconds(1000)};
-/// VMs register again at once when their capacity changes; the platform's time for being in touch, and a
-/// heartbeat.
+/// A VM registers again immediately when its capacity changes. The check allows for the platform's bound on
+/// the time since an owner's last contact, plus one heartbeat interval.
 constexpr milliseconds contact_time = 3s;
 constexpr milliseconds heartbeat = 1500ms;
 constexpr capacity_bounds vm_capacity_bounds{.task_millicores = 500, .lag = contact_time + heartbeat};
-/// Within which each node must tell a count once nothing waits: the age of copies, and some ten requests.
+/// Time within which each node must report a count once no job waits: the maximum age of a cached count plus
+/// the duration of about ten requests.
 constexpr milliseconds count_timeout = 8s;
 
 struct soak_options {
@@ -39,14 +41,14 @@
     milliseconds length{0};
 };
 
-/// One run of a plan.
+/// Executes one plan and runs the checks during and after it.
 class soak_run {
   public:
     soak_run(event_loop& loop, soak_options options)
         : m_loop(loop), m_options(std::move(options)), m_cluster(loop, m_options.cluster),
           m_load_generator(loop, m_cluster, m_options.seed) {}
 
-    /// Returns the problems found; none if all promises held.
+    /// Runs the plan. Returns the violations found; empty if there were none.
     std::vector<std::string> run() {
         if (!m_cluster.start()) {
             return {"the deployment can't be started"};
@@ -120,7 +122,7 @@
         return run_until([this] { return is_recovered(); }, recovery_timeout);
     }
 
-    /// Jobs wait while nothing is broken any more.
+    /// Submits the final burst after all faults, and checks the counts that are reported meanwhile.
     bool wait_for_burst() {
         const std::size_t first = m_load_generator.counts().size();
         m_load_generator.submit_burst();
@@ -129,7 +131,8 @@
         return has_recovered;
     }
 
-    /// Nothing waits any more; watches until each node told a count that can't be from before.
+    /// Waits until each node has reported a count that was made after the last job stopped waiting, and
+    /// checks these counts.
     void wait_for_last_counts() {
         const timestamp from = event_loop::now() + final_bounds.max_count_age;
         run_until([&] { return event_loop::now() >= from; }, count_timeout);
@@ -226,7 +229,7 @@
         }
     }
 
-    /// The same finding is met again at each check.
+    /// Records a problem once, since each check reports the same problems again.
     void add_problem(const std::string& problem) {
         const std::string kind = problem.substr(0, problem.find(" ["));
         if (m_known_problems.insert(kind).second) {
@@ -240,7 +243,7 @@
     load_generator m_load_generator;
     std::vector<std::string> m_problems;
     std::set<std::string> m_known_problems;
-    std::size_t m_checked_counts = 0; ///< Counts that were checked by what holds amid faults.
+    std::size_t m_checked_counts = 0; ///< Number of counts that check_counts() has processed.
 };
 
 void print_plan(const soak_options& options) {
--- a/soak/test_cluster.cpp
+++ b/soak/test_cluster.cpp
@@ -16,18 +16,18 @@
 namespace {
 
 constexpr std::string_view pool = "p";
-/// The grace period in the nodes' settings, and what a process may be late by on a busy machine before that
-/// counts as a finding.
+/// The grace period in the nodes' settings, and how much later than that a process may end on a busy machine
+/// before the soak reports a problem.
 constexpr milliseconds grace = 6s;
 constexpr milliseconds end_slack = 6s;
 constexpr milliseconds link_delay = 300ms;
-/// A slow node gets one turn of the soak's own loop (2 ms) in this time, and eight turns in the lease (2 s)
-/// by which an owner holds its claim. Of 60, 150, 250 and 400 ms it is the one by which most of 12 seeds,
-/// played once each, found an owner that counts only the jobs it has taken: 0, 0, 2 and 1.
+/// In this period a slow node runs for one iteration of the soak's event loop (2 ms), which is eight
+/// iterations within the lease (2 s) of an owner's claim. With 60, 150, 250 and 400 ms, one run of each of 12
+/// seeds detects an owner that counts only jobs already transferred from the inbox in 0, 0, 2 and 1 runs.
 constexpr milliseconds slow_period = 250ms;
-/// Until a node's program runs, on a busy machine.
+/// Time that the start of a node's program can take on a busy machine.
 constexpr milliseconds startup_time = 1s;
-/// How long a VM that a task has crashed is away.
+/// Time between the crash of a VM and the start of its next incarnation.
 constexpr milliseconds vm_down_time = 1500ms;
 constexpr jobs::resources full_capacity{4000, 8192, 0};
 constexpr jobs::resources shrunk_capacity{1000, 8192, 0};
@@ -35,12 +35,12 @@
 constexpr int late_writes = 2;
 constexpr int late_starts = 3;
 constexpr int lost_stops = 2;
-/// Some starts still hold by then.
+/// Some late starts are still within their deadline after this delay.
 constexpr milliseconds late_start_delay = 1200ms;
-/// VMs' clocks: the slowest that the platform allows, and a plain one, by turns.
+/// Clock rate of every second VM: the slowest that the platform allows. The other VMs have an exact clock.
 constexpr double slow_clock_rate = 0.98;
-/// How long tasks run, by VM. The last outlives the change of a pool's owner, so that runs of a dead owner
-/// are there for its successor to find, and stays below a lease.
+/// Run time of tasks, by VM. The last one is longer than the takeover of a pool, so that the successor finds
+/// runs that a dead owner started, and is shorter than a lease.
 constexpr std::array run_times{200ms, 600ms, 1400ms, 5000ms};
 
 bool is_node_fault(fault_kind kind) {
@@ -71,9 +71,9 @@
     return "127.0.0.1:" + std::to_string(port);
 }
 
-/// A loopback address of this process alone. Soaks run side by side; on one address two of them could give
-/// their nodes the same ports, and a node that is restarted would find another soak's node on its own, or be
-/// taken for it.
+/// Returns a loopback address specific to this process. Several soaks run in parallel; on a shared address
+/// two of them can assign the same port to their nodes, so that a restarted node finds its port used by a
+/// node of another soak, or is mistaken for that node.
 std::string process_address() {
     const auto pid = static_cast<std::uint32_t>(getpid());
     return "127." + std::to_string(1 + (pid >> 16U) % 250) + "." + std::to_string((pid >> 8U) & 255U) + "." +
@@ -111,7 +111,8 @@
     return true;
 }
 
-/// Each version replaces the extra queue of the one before, so that every version shows from outside.
+/// Publishes the next configuration. Each version replaces the extra queue of the previous one, so that
+/// clients can observe which version is in force.
 void test_cluster::publish_configuration() {
     const auto queue = [](const std::string& name, const std::string& prefix) {
         jobs::queue_settings item;
@@ -128,7 +129,7 @@
     configuration.version = m_configuration_version;
     configuration.queues = {queue("quotes", std::string(quotes_prefix)),
                             queue("extra", extra_prefix(m_configuration_version))};
-    // The stand-in VMs start whatever they are told to.
+    // The fake VMs don't check their capacity before they start a run.
     configuration.pools = {{std::string(pool), false, false}};
     configuration.max_body_bytes = 65'536;
     m_store.put(std::string(platform::configuration_key), platform::encode_configuration(configuration));
@@ -240,7 +241,8 @@
 
 // --- Owners ---
 
-/// A claim writes the token's key and the owner's name together; the name comes last.
+/// Records the owner of the pool by its fencing token. A claim writes the token's key and the owner's name in
+/// one transaction, the name last.
 void test_cluster::record_owner(const std::string& key) {
     const std::string duty = node::pool_duty(std::string(pool));
     if (key != node::liveness_prefix + duty) {
@@ -261,7 +263,8 @@
            });
 }
 
-/// Faults of VMs and of the links to them, and new configurations, keep no owner from acting rightly.
+/// Faults of VMs, faults of the links to VMs, and new configurations are not recorded: an owner must act
+/// correctly during these.
 void test_cluster::record_outage(const planned_fault& fault) {
     const bool is_link_fault =
         (fault.kind >= fault_kind::store_link_delay && fault.kind <= fault_kind::store_link_silent) ||
@@ -341,7 +344,7 @@
     }
 }
 
-/// A program that has not begun to run yet is ended by the signal, whatever it does later.
+/// Sends SIGHUP, except to a process that may not have reached main() yet: SIGHUP would end that process.
 void test_cluster::reload_node(const cluster_node& state) {
     if (state.pause_count == 0 && event_loop::now() - state.started_at >= startup_time) {
         state.process->signal(SIGHUP);
@@ -371,8 +374,8 @@
     }
 }
 
-/// Entries, whose calls to the owner then have no answer in time, leave jobs in the inbox, and nobody can
-/// take them from there.
+/// While writes of job records are held, the owner doesn't answer calls from entries in time. Entries then
+/// leave jobs in the inbox, and the owner can't transfer the jobs from there.
 void test_cluster::hold_job_writes(bool enabled) {
     m_hold_faults += enabled ? 1 : -1;
     m_store.hold_writes(m_hold_faults > 0 ? node::job_prefix(std::string(pool)) : std::string());
--- a/soak/test_cluster.hpp
+++ b/soak/test_cluster.hpp
@@ -14,49 +14,52 @@
 
 namespace siskinpaddle::soak {
 
-/// How clients address the queue that is always there.
+/// Host and path prefix of the queue that exists in every configuration version.
 inline constexpr std::string_view client_host = "h.example";
 inline constexpr std::string_view quotes_prefix = "/quotes/";
 
 struct test_cluster_settings {
     std::string program; ///< The node program.
-    std::string folder;  ///< Settings and logs of the nodes go there.
+    std::string folder;  ///< Directory for the nodes' settings files and logs.
     std::uint32_t nodes = 3;
     std::uint32_t vms = 4;
 };
 
-/// Real node processes on loopback among stand-ins of the store and of VMs, with a proxy on each link from a
-/// node to the store, to a node's clients and to a VM. Carries faults out. Not thread-safe.
+/// Runs real node processes on loopback with fakes of the store and the VMs, and injects faults. There is a
+/// fault_proxy between each node and the store, between each node and its clients, and before each VM. Not
+/// thread-safe.
 class test_cluster {
   public:
     test_cluster(event_loop& loop, test_cluster_settings settings);
 
-    /// Starts everything. Returns false if something could not be started.
+    /// Starts the store, the VMs and the nodes. Returns false if the store or a node can't be started.
     [[nodiscard]] bool start();
     void apply(const planned_fault& fault);
-    /// Ends the fault. Of faults that overlap on one link, VM, node or the store the newest shows, and the
-    /// target is well again when the last of them is mended.
+    /// Ends the fault. If faults overlap on one link, VM, node or the store, the newest one takes effect, and
+    /// the target works normally again when the last of them is reverted.
     void revert(const planned_fault& fault);
 
-    /// Restarts nodes that were killed; call often. Ends that nobody ordered are added to problems().
+    /// Restarts nodes that were killed, and removes expired VM registrations. Adds unexpected ends of nodes
+    /// to problems(). Must be called every few tens of milliseconds.
     void update();
-    /// Gives slow nodes the processor in short turns; call every few milliseconds.
+    /// Stops and continues the processes of slow nodes periodically. Must be called every few milliseconds.
     void switch_slow_nodes();
-    /// Clients' address of a node, over its proxy.
+    /// Endpoint of a node for clients, through the node's proxy.
     [[nodiscard]] endpoint client_endpoint(std::uint32_t node) const;
-    /// Counts a node's processes.
+    /// Number of processes started for the node so far.
     [[nodiscard]] std::uint32_t incarnation_of(std::uint32_t node) const { return m_nodes[node]->starts; }
     [[nodiscard]] std::uint32_t nodes() const noexcept { return m_settings.nodes; }
-    /// Version of the newest configuration, and the prefix of the queue that came with it.
+    /// Version of the newest configuration.
     [[nodiscard]] std::int64_t configuration_version() const noexcept { return m_configuration_version; }
+    /// Path prefix of the queue that exists only in this configuration version.
     [[nodiscard]] static std::string extra_prefix(std::int64_t version);
 
-    /// All runs that VMs have had, those of crashed VMs too.
+    /// All runs of all VMs, including crashed ones.
     [[nodiscard]] std::vector<vm_run> runs() const;
-    /// What VMs had room for, those of crashed VMs too.
+    /// All capacities that VMs have reported, including crashed ones.
     [[nodiscard]] std::vector<fakes::vm_capacity> capacities() const;
-    /// Whether the owner of the fencing token had been free of faults for `contact` at that moment, and the
-    /// store, too.
+    /// Whether, for `contact` before `at`, neither the store nor the node that held the fencing token had a
+    /// fault that can keep an owner from reaching the store or the VMs.
     [[nodiscard]] bool had_contact(std::int64_t token, timestamp at, milliseconds contact) const;
     [[nodiscard]] const std::vector<std::string>& problems() const noexcept { return m_problems; }
 
@@ -72,23 +75,23 @@
         std::unique_ptr<child_process> process;
         std::uint32_t starts = 0;
         timestamp started_at{0};
-        std::uint32_t restart_blocks = 0; ///< Faults that keep it from being restarted.
+        std::uint32_t restart_blocks = 0; ///< Number of open faults that prevent a restart of the node.
         std::uint32_t pause_count = 0;
         std::uint32_t slow_count = 0;
-        bool is_slow_stopped = false; ///< Slow, and stopped until `turns_at`.
+        bool is_slow_stopped = false; ///< The slow node is stopped until `next_switch_at`.
         timestamp next_switch_at{0};
-        bool is_ending = false; ///< Its end was ordered.
+        bool is_ending = false; ///< A fault ended the process.
         timestamp terminated_at{0};
     };
     struct cluster_vm {
         std::unique_ptr<fakes::task_machine> machine;
         std::unique_ptr<fault_proxy> link;
-        std::uint32_t shrink_count = 0; ///< Faults that leave it less room.
+        std::uint32_t shrink_count = 0; ///< Number of open faults that reduce the VM's capacity.
     };
-    /// Time in which a node, or all of them, may not reach the store or the VMs.
+    /// Period in which a node, or all nodes, may be unable to reach the store or the VMs.
     struct contact_outage {
         planned_fault fault;
-        const cluster_node* node = nullptr; ///< Null: all.
+        const cluster_node* node = nullptr; ///< Null: all nodes.
         timestamp from{0};
         std::optional<timestamp> until;
     };
@@ -118,9 +121,9 @@
     fakes::platform_store m_store;
     std::vector<std::unique_ptr<cluster_node>> m_nodes;
     std::vector<cluster_vm> m_vms;
-    std::map<std::int64_t, const cluster_node*> m_owners; ///< By fencing token.
+    std::map<std::int64_t, const cluster_node*> m_owners; ///< Owners of the pool by fencing token.
     std::vector<contact_outage> m_outages;
-    std::map<fault_proxy*, std::uint32_t> m_link_faults; ///< Open faults of each link.
+    std::map<fault_proxy*, std::uint32_t> m_link_faults; ///< Number of open faults per link.
     std::int64_t m_configuration_version = 2;
     std::uint32_t m_silent_faults = 0;
     std::uint32_t m_busy_faults = 0;
--- a/tests/fakes/fake_platform.cpp
+++ b/tests/fakes/fake_platform.cpp
@@ -35,7 +35,7 @@
     if (kind != injected_fault::unresponsive && kind != injected_fault::down) {
         return;
     }
-    // A watch that waits already would otherwise still bring its news through the cut.
+    // A pending watch would otherwise still deliver an update to an unreachable caller.
     for (auto watch = m_watchers.begin(); watch != m_watchers.end();) {
         if (caller.empty() || watch->request->headers().get("Caller") == caller) {
             m_unanswered.push_back(watch->request);
@@ -107,7 +107,7 @@
 
 bool fake_platform::apply_fault(const request_ptr& request) {
     const std::string caller(request->headers().get("Caller"));
-    // The VMs' own polls belong to the stand-in, not to what the system under test sees.
+    // Polls of the VMs are internal to the fake; faults affect only the system under test.
     if (request->target().starts_with("/vm/")) {
         return false;
     }
@@ -136,7 +136,7 @@
         return true;
     case injected_fault::lose_answer:
         if (is_write) {
-            // The real handler runs on the caller's request; its answer then goes nowhere.
+            // Applies the write of the request that was stored last in m_unanswered, without an answer.
             m_unanswered.push_back(request);
             handle_put(nullptr, std::string(path_of_target(request->target())).substr(4));
             return true;
@@ -182,7 +182,7 @@
 }
 
 void fake_platform::handle_put(const request_ptr& request, const std::string& key) {
-    // Without a request it is the last unanswered one: applied, its answer lost.
+    // A null request selects the last unanswered one, which is applied without an answer.
     const server_request& call = request ? *request : *m_unanswered.back();
     const auto found = m_items.find(key);
     const std::uint64_t current = found == m_items.end() ? 0 : found->second.version;
@@ -243,7 +243,7 @@
     const timestamp now = event_loop::now();
     boost::json::array list;
     for (const auto& [id, item] : m_vms) {
-        // Both coming and going show only after the lag.
+        // A returning VM is listed after the lag, and one that has ended stays listed for the lag.
         if (now < item.listed_from || now > item.alive_until + m_list_lag) {
             continue;
         }
@@ -291,7 +291,8 @@
     reply(request, 200);
 }
 
-/// A VM reports itself and learns whether it shall reboot, and for which pool.
+/// Registers the VM that sends the request, and answers with its pending reboot, if any, and the reboot's
+/// pool.
 void fake_platform::handle_vm_poll(const request_ptr& request, const std::string& id) {
     const timestamp now = event_loop::now();
     findings problems;
--- a/tests/fakes/fake_platform.hpp
+++ b/tests/fakes/fake_platform.hpp
@@ -11,13 +11,13 @@
 
 namespace siskinpaddle::fakes {
 
-/// What the stand-in does to calls.
+/// Fault that the fake applies to calls.
 enum class injected_fault : std::uint8_t {
     none,
-    down,         ///< Refuses every call with 503, nothing is applied.
-    unresponsive, ///< Never answers, nothing is applied.
-    slow,         ///< Answers late.
-    lose_answer   ///< Applies writes, then never answers them.
+    down,         ///< Refuses every call with 503 and applies nothing.
+    unresponsive, ///< Never answers and applies nothing.
+    slow,         ///< Handles and answers calls after a delay.
+    lose_answer   ///< Applies writes without answering them.
 };
 
 } // namespace siskinpaddle::fakes
@@ -32,7 +32,7 @@
 
 namespace siskinpaddle::fakes {
 
-/// Calls and bytes of one caller, as the stand-in counted them.
+/// Numbers of calls and bytes of one caller.
 struct caller_usage {
     std::uint64_t reads = 0;
     std::uint64_t writes = 0;
@@ -40,8 +40,8 @@
     std::uint64_t bytes = 0;
 };
 
-/// Stand-in of the platform by the protocol in docs/PLATFORM.md: keys with versions, compare-and-swap,
-/// leases, watches, a lagging VM list and reboots. One per test or process; keeps everything in memory.
+/// Fake of the platform with the protocol in docs/PLATFORM.md: keys with versions, compare-and-swap, leases,
+/// watches, a VM list that lags, and reboots. One per test or process; keeps its data in memory.
 class fake_platform {
   public:
     fake_platform(event_loop& loop, milliseconds list_lag);
@@ -49,21 +49,21 @@
     [[nodiscard]] bool listen(const endpoint& where) { return m_server.listen(where); }
     [[nodiscard]] std::uint16_t port() const { return m_server.port(); }
 
-    /// Sets the trouble for one caller, or for all with an empty name. `next_writes` bounds it to that many
-    /// writes.
+    /// Sets the fault for one caller, or, if the name is empty, for all callers without a fault of their own.
+    /// A non-negative `next_writes` limits the fault to that many writes.
     void set_fault(const std::string& caller, injected_fault kind, milliseconds delay = milliseconds{0},
                    int next_writes = -1);
 
     [[nodiscard]] const std::map<std::string, caller_usage>& usage() const noexcept { return m_usage; }
 
-    /// Lists `count` VMs that always live and reboot at once, all with one target's port; for measurements of
-    /// control.
+    /// Lists `count` VMs that stay alive and reboot immediately, all with the address of one target. For
+    /// benchmarks of the control plane.
     void add_static_vms(int count, const endpoint& target);
 
-    /// The value as stored, straight from memory.
+    /// Stored value of the key; empty if there is none.
     [[nodiscard]] std::string value(const std::string& key) const;
     void put(const std::string& key, std::string bytes);
-    /// Puts back an earlier value with a fresh version, as a store restored from an old copy would.
+    /// Writes an older value with a new version, like a store that is restored from a backup.
     void restore(const std::string& key, std::string bytes) { put(key, std::move(bytes)); }
 
   private:
--- a/tests/fakes/fake_vm.cpp
+++ b/tests/fakes/fake_vm.cpp
@@ -67,7 +67,7 @@
     item->done_timer = m_loop.make_timer([this, item, headers] {
         log("end", item->id);
         item->request->reply(200, headers, item->id + " " + item->request->body());
-        // The timer is still running its own action here.
+        // The request owns this timer, which must not be destroyed within its own callback.
         m_loop.post([this, alive = m_lifetime.weak_token(), item] {
             if (!alive.expired()) {
                 m_active_requests.erase(item);
@@ -85,7 +85,7 @@
     }
     const bool known = found != m_tasks.end() && found->second.epoch == call.epoch;
     if (!known && call.order != task_order::run) {
-        // Remembered as ended, so that a start that was overtaken on its way can't run it later.
+        // Recorded as stopped, so that a start that arrives after the stop doesn't run the task.
         m_tasks[call.job] = {call.epoch, task_state::stopped, now, now, {}};
         return {call.job, call.epoch, task_state::absent, {}};
     }
@@ -173,7 +173,7 @@
         m_rebooting = false;
         (void)open_servers();
     });
-    // Servers are taken down outside of their own callbacks.
+    // The servers must not be destroyed within their own callbacks.
     m_loop.post([this, alive = m_lifetime.weak_token()] {
         if (alive.expired()) {
             return;
--- a/tests/fakes/fake_vm.hpp
+++ b/tests/fakes/fake_vm.hpp
@@ -12,7 +12,7 @@
 
 namespace siskinpaddle::fakes {
 
-/// Settings of a stand-in VM.
+/// Settings of a fake VM.
 struct fake_vm_settings {
     std::string id;
     std::string availability_zone = "a";
@@ -25,12 +25,13 @@
     milliseconds service_time{20};
     std::uint32_t cores = 32;
     std::uint32_t memory_mb = 64'000;
-    std::string log_path; ///< Lines "run ID POOL", "end ID POOL" and "cut ID POOL"; empty: none.
+    std::string log_path; ///< File for lines "run ID POOL", "end ID POOL", "cut ID POOL"; empty: no log.
     bool fail_tasks = false;
 };
 
-/// Stand-in of one VM: a target that runs requests in slots, a worker that runs tasks under leases, and the
-/// platform's hand that reboots it for a pool. Refuses requests above its slots by the documented refusal.
+/// Fake of one VM: a target that runs requests in slots, a worker that runs tasks under leases, and a poller
+/// that reboots the VM for a pool when the platform orders it. Requests beyond the number of slots get status
+/// 503 with the header Target-Refusal.
 class fake_vm {
   public:
     fake_vm(event_loop& loop, fake_vm_settings settings);
@@ -38,7 +39,7 @@
     /// Returns false when a port can't be bound.
     [[nodiscard]] bool start();
 
-    /// Answers requests by itself when set, instead of the usual work.
+    /// If set, handles requests in place of the slots.
     std::function<void(std::shared_ptr<server_request>)> on_request;
 
     [[nodiscard]] const std::map<std::string, int>& runs() const noexcept { return m_runs; }
--- a/tests/fakes/platform_store.cpp
+++ b/tests/fakes/platform_store.cpp
@@ -15,14 +15,14 @@
 namespace {
 
 constexpr milliseconds tick_interval = 20ms;
-/// Above the time after which a caller takes a call for unanswered and sends it again.
+/// Longer than a caller's timeout, after which the caller sends the call again.
 constexpr milliseconds late_write_delay = 3s;
 
 std::string uri_decode(const std::string& text) {
     size_t size = 0;
     char* plain = evhttp_uridecode(text.c_str(), 0, &size);
     std::string result(plain, size);
-    std::free(plain); // NOLINT: libevent hands out malloc'ed memory
+    std::free(plain); // NOLINT: libevent allocates it with malloc
     return result;
 }
 
@@ -39,7 +39,7 @@
     return text;
 }
 
-/// What the store's bound on a transaction counts.
+/// Number of entries that count towards the store's limit on a transaction.
 std::size_t count_entries(const boost::json::object& transaction) {
     std::size_t entries = 0;
     for (const std::string_view list : {wire::conditions, wire::writes, wire::removals}) {
@@ -115,7 +115,7 @@
 }
 
 void platform_store::range(const request_handle& request) {
-    constexpr std::size_t page_size = 50; // Small, so that pages are met with few items.
+    constexpr std::size_t page_size = 50; // Small, so that tests with few items need several pages.
     const std::string prefix = get_parameter(*request, wire::prefix);
     const std::string after = get_parameter(*request, wire::after);
     boost::json::array items;
@@ -244,7 +244,7 @@
     }
     if (m_late_writes > 0) {
         --m_late_writes;
-        m_unanswered.push_back(request); // Its sender hears nothing of it.
+        m_unanswered.push_back(request); // Kept open without an answer.
         m_late_transactions.push_back({body, event_loop::now() + late_write_delay});
         return;
     }
--- a/tests/fakes/platform_store.hpp
+++ b/tests/fakes/platform_store.hpp
@@ -12,8 +12,8 @@
 
 namespace siskinpaddle::fakes {
 
-/// Stand-in of the users' key-value store, over real sockets: items with revisions, transactions under
-/// conditions, watches, leases, and the troubles that it may have. One per test; keeps everything in memory.
+/// Fake of the key-value store with an HTTP server on a real socket: items with revisions, conditional
+/// transactions, watches, leases, and injected faults. One per test; keeps its data in memory.
 class platform_store {
   public:
     explicit platform_store(event_loop& loop);
@@ -21,50 +21,50 @@
     [[nodiscard]] bool listen(const endpoint& where) { return m_server.listen(where); }
     [[nodiscard]] std::uint16_t port() const { return m_server.port(); }
 
-    /// Writes an item as the operator or a VM would.
+    /// Writes an item, like an operator or a VM. `lease` 0: no lease.
     void put(const std::string& key, const std::string& value, std::int64_t lease = 0);
     void remove(const std::string& key);
     [[nodiscard]] bool contains(const std::string& key) const { return m_items.contains(key); }
     [[nodiscard]] std::size_t count(const std::string& prefix) const;
-    /// Revision of an item; 0: there is none.
+    /// Revision of an item; 0 if there is no such item.
     [[nodiscard]] std::int64_t revision_of(const std::string& key) const;
-    /// Whether the item is there with this value.
+    /// Whether the item exists with this value.
     [[nodiscard]] bool has_value(const std::string& key, const std::string& value) const;
 
-    /// Calls that have come so far for `path`, answered or not.
+    /// Number of calls received so far for `path`, answered or not.
     [[nodiscard]] std::size_t call_count(const std::string& path) const;
 
-    /// Answers nothing and does nothing.
+    /// While set, neither answers nor executes calls.
     void set_silent(bool silent);
-    /// Refuses every call with 503.
+    /// While set, refuses every call with 503.
     void set_busy(bool busy) { m_busy = busy; }
-    /// Carries the next so many transactions out without answering them.
+    /// Executes the next `transactions` transactions without answering them.
     void lose_answers(int transactions) { m_lost_answers = transactions; }
-    /// Carries the next so many transactions out seconds later, if their conditions still hold, without an
-    /// answer.
+    /// Executes the next `transactions` transactions seconds later, if their conditions hold then, without
+    /// answering them.
     void delay_writes(int transactions) { m_late_writes = transactions; }
-    /// Transactions that were refused since a condition did not hold.
+    /// Number of transactions refused because a condition did not hold.
     [[nodiscard]] std::size_t conflicts() const noexcept { return m_conflicts; }
-    /// Transactions that are still to be carried out late.
+    /// Number of delayed transactions that are still pending.
     [[nodiscard]] std::size_t pending_late_writes() const noexcept { return m_late_transactions.size(); }
-    /// Answers no watch under `prefix`; empty: answers all.
+    /// Holds the answers of watches under `prefix`; empty: answers all watches.
     void hold_watches(std::string prefix) { m_held_watches = std::move(prefix); }
-    /// Answers no watch whose answer holds an item under `prefix`, as if it were large and its link slow;
-    /// empty: answers all.
+    /// Holds the answers of watches that contain an event under `prefix`, like a large answer over a slow
+    /// link; empty: answers all watches.
     void hold_events(std::string prefix) { m_held_events = std::move(prefix); }
-    /// Neither answers nor carries out transactions that change a key under `prefix`; empty: carries those
-    /// out that were held, in the order in which they came, and holds no more.
+    /// Neither answers nor executes transactions that change a key under `prefix`. An empty prefix executes
+    /// the held transactions in the order of their arrival and ends the fault.
     void hold_writes(const std::string& prefix);
-    /// Calls back after each change, before anybody hears of it.
+    /// Sets a handler that is called after each change, before watches are answered.
     void on_change(std::function<void(const std::string& key)> handler) { m_on_change = std::move(handler); }
-    /// Forgets its history: watches of older revisions are told so.
+    /// Discards the history: watches from older revisions are refused with 410.
     void compact() { m_compacted_revision = m_revision; }
-    /// Lets all leases run out at once.
+    /// Expires all leases immediately.
     void expire_leases();
 
   private:
     struct item {
-        std::string value; ///< As it came: base64 text.
+        std::string value; ///< Base64 text, as received.
         std::int64_t revision = 0;
         std::int64_t lease = 0;
     };
@@ -107,8 +107,8 @@
     std::vector<event> m_events;
     std::list<pending_watch> m_watches;
     std::vector<request_handle> m_unanswered;
-    std::map<std::string, std::size_t> m_calls;                          ///< By path.
-    std::map<std::int64_t, std::pair<timestamp, milliseconds>> m_leases; ///< Until when, and for how long.
+    std::map<std::string, std::size_t> m_calls;                          ///< Number of calls by path.
+    std::map<std::int64_t, std::pair<timestamp, milliseconds>> m_leases; ///< Expiry time and TTL, by lease.
     std::int64_t m_revision = 0;
     std::int64_t m_compacted_revision = 0;
     std::int64_t m_next_lease = 1000;
@@ -123,7 +123,7 @@
     std::string m_held_write_prefix;
     std::vector<request_handle> m_held_writes;
     std::deque<std::pair<boost::json::object, timestamp>>
-        m_late_transactions; ///< Transactions, and when they are due.
+        m_late_transactions; ///< Delayed transactions and their due times.
 };
 
 } // namespace siskinpaddle::fakes
--- a/tests/fakes/standin_platform.cpp
+++ b/tests/fakes/standin_platform.cpp
@@ -3,8 +3,8 @@
 #include <csignal>
 #include <iostream>
 
-/// Usage: standin_platform PORT LIST_LAG_MS [STATIC_VMS TARGET_PORT]: with static VMs their one target
-/// answers too.
+/// Usage: standin_platform PORT LIST_LAG_MS [STATIC_VMS TARGET_PORT]. With static VMs, the process also
+/// serves the single target that all of them share.
 int main(int argc, char** argv) {
     using namespace siskinpaddle;
     if (argc != 3 && argc != 5) {
--- a/tests/fakes/task_machine.cpp
+++ b/tests/fakes/task_machine.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The platform takes a VM that went silent off its list after three heartbeats.
+/// The platform removes an unresponsive VM from its list after three heartbeats.
 constexpr milliseconds delist_delay = 4500ms;
 
 } // namespace
@@ -29,7 +29,7 @@
     m_vm = std::make_unique<task_vm>(m_loop, incarnation, m_settings.run_time);
     m_vm->set_machine(m_settings.name);
     m_vm->set_clock_rate(m_settings.clock_rate);
-    // Not from within the VM's own timer.
+    // The VM must not be destroyed within its own timer's callback.
     m_vm->on_crash([this] { m_crash_timer->start(0ms); });
     m_listen_failed = !m_vm->listen({"127.0.0.1", m_port});
     m_port = m_vm->port();
--- a/tests/fakes/task_machine.hpp
+++ b/tests/fakes/task_machine.hpp
@@ -12,21 +12,22 @@
 
 namespace siskinpaddle::fakes {
 
-/// What a VM had room for from a moment on.
+/// Capacity that a VM reported from a point in time on.
 struct vm_capacity {
     std::string vm;
     timestamp valid_from{0};
     std::int64_t cpu_millicores = 0;
 };
 
-/// A run with the life of a VM that had it.
+/// A run with the incarnation of the VM that executed it.
 struct vm_run {
     std::string vm;
     task_vm::run_record run;
 };
 
-/// Stand-in of a machine: one life of a VM after the other, at the same address, each registered in the
-/// store. A life ends when it is crashed or when a task crashes it; the next one begins after the down time.
+/// Fake of a machine: runs successive incarnations of a VM at the same address and registers each in the
+/// store. An incarnation ends by crash() or when a task crashes the VM; the next one starts after the down
+/// time.
 class task_machine {
   public:
     struct settings {
@@ -39,31 +40,31 @@
 
     task_machine(event_loop& loop, platform_store& store, settings options);
 
-    /// Begins the first life. Returns false if it can't listen.
+    /// Starts the first incarnation. Returns false if the VM can't listen.
     [[nodiscard]] bool start();
-    /// Ends the present life, if there is one.
+    /// Ends the current incarnation, if any.
     void crash();
-    /// Its VM's capacity from now on, in later lives, too, as it says itself.
+    /// Sets the capacity that the VM reports, in this and later incarnations.
     void set_capacity(const jobs::resources& capacity);
-    /// Its VM says that it will leave; crash() is its leaving.
+    /// Makes the VM report that it drains. crash() then ends the incarnation.
     void drain();
-    /// No life begins while it is held down. Calls with `true` and `false` pair up.
+    /// Prevents the start of an incarnation while enabled. Calls nest: each `true` needs one `false`.
     void block_restart(bool enabled);
-    /// From now on its VMs register under this port; for one that is reached through a proxy.
+    /// Sets the port that later registrations contain, for a VM that is reached through a proxy.
     void set_registered_port(std::uint16_t port) { m_registered_port = port; }
-    /// Called with the address of each new life before it is registered.
+    /// Sets a handler that is called with the address of each new incarnation before its registration.
     void on_incarnation_start(std::function<void(endpoint)> handler) {
         m_on_incarnation_start = std::move(handler);
     }
-    /// Removes entries of lives that have been silent for three heartbeats; call often.
+    /// Removes registrations of incarnations that ended three heartbeats ago. Must be called regularly.
     void remove_expired_registrations();
 
-    /// Null while it is down.
+    /// Current incarnation; null while the machine is down.
     [[nodiscard]] task_vm* vm() const noexcept { return m_vm.get(); }
     [[nodiscard]] std::uint32_t incarnation_count() const noexcept { return m_incarnation_count; }
-    /// All runs of all lives. Those that a crash ended have `how` "crashed".
+    /// Runs of all incarnations. Runs ended by a crash have the outcome "crashed".
     [[nodiscard]] std::vector<vm_run> runs() const;
-    /// All capacities of all lives, in the order of time.
+    /// Reported capacities of all incarnations, in chronological order.
     [[nodiscard]] const std::vector<vm_capacity>& capacities() const noexcept { return m_capacities; }
 
   private:
@@ -82,7 +83,7 @@
     jobs::resources m_capacity{4000, 8192, 0};
     std::uint32_t m_incarnation_count = 0;
     std::uint32_t m_restart_blocks = 0;
-    bool m_listen_failed = false; ///< It could not listen.
+    bool m_listen_failed = false; ///< The VM could not listen.
     std::vector<vm_run> m_past_runs;
     std::vector<vm_capacity> m_capacities;
     std::map<std::string, timestamp> m_delist_at;
--- a/tests/fakes/task_vm.cpp
+++ b/tests/fakes/task_vm.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr milliseconds tick_interval = 10ms;
-/// The VM's clock is not ours.
+/// Offset of the VM's clock, since the nodes and a VM don't share a clock.
 constexpr std::int64_t clock_offset_ms = 77'000;
 constexpr std::string_view crash_prefix = "crashes its VM: ";
 
@@ -22,7 +22,7 @@
     return found == nullptr ? 0 : found->to_number<std::int64_t>();
 }
 
-/// Whether the payload lets this task crash its VM.
+/// Whether the payload makes this task crash its VM.
 bool is_crash_payload(const std::string& payload, const std::string& task) {
     return payload.starts_with(crash_prefix) &&
            payload.substr(crash_prefix.size()) == task.substr(task.rfind('.') + 1);
@@ -101,7 +101,7 @@
     }
 }
 
-/// Whether the order is one of those that get no answer.
+/// Whether the order gets no answer. Counts the lost stops and late starts down, and stores a late start.
 bool task_vm::withhold_answer(const request_handle& request, const boost::json::object& body) {
     const std::string path(path_of_target(request->target()));
     if (path == wire::stop_path && m_lost_stops > 0) {
@@ -135,7 +135,7 @@
     reply(request, 200, {});
 }
 
-/// Returns the reason of a refusal; empty if the run has begun.
+/// Returns the reason for a refusal; empty if the run has started.
 std::string_view task_vm::start_run(const boost::json::object& body) {
     const std::string task(body.at(wire::task).as_string());
     const std::int64_t attempt = number(body, wire::attempt);
@@ -220,7 +220,7 @@
     m_ends.push_back({m_next_end++, run_index});
 }
 
-/// Only once: the machine ends this life then.
+/// Calls the crash handler once; its owner then ends this incarnation.
 void task_vm::crash_if_due() {
     if (m_crashes_at && event_loop::now() >= *m_crashes_at && m_on_crash) {
         m_silent = true;
--- a/tests/fakes/task_vm.hpp
+++ b/tests/fakes/task_vm.hpp
@@ -14,26 +14,26 @@
 
 namespace siskinpaddle::fakes {
 
-/// Stand-in of one VM that runs tasks: leases, fencing tokens, attempt numbers, ends that are listed until
-/// they are acknowledged. It keeps its own record of all runs, for the tests' checks. One life; a VM that
-/// restarts is another object.
+/// Fake of one incarnation of a VM that runs tasks, with leases, fencing tokens, attempt numbers, and ends
+/// that are listed until they are acknowledged. Records all runs for the checks in tests. A VM that restarts
+/// is another object.
 class task_vm {
   public:
-    /// A run as the VM saw it.
+    /// A run as recorded by the VM.
     struct run_record {
         std::string task;
         std::int64_t attempt = 0;
         timestamp started_at{0};
-        timestamp ended_at{0}; ///< 0: it goes on.
+        timestamp ended_at{0}; ///< 0: still running.
         std::string outcome;
-        timestamp acknowledged{0};      ///< When its end was acknowledged; 0: it was not.
-        bool long_running = false;      ///< It runs until it is stopped.
+        timestamp acknowledged{0};      ///< When the end was acknowledged; 0: not yet.
+        bool long_running = false;      ///< Runs until it is stopped.
         std::int64_t fencing_token = 0; ///< Fencing token of its start.
     };
 
-    /// Tasks of jobs with this payload don't end by themselves.
+    /// Payload of jobs whose tasks run until they are stopped.
     static constexpr std::string_view long_running_payload = "runs until it is stopped";
-    /// With this payload the job's tasks of this index crash their VM a moment after they have begun.
+    /// Payload of jobs whose task with this index crashes its VM `crash_delay` after the task has started.
     [[nodiscard]] static std::string crash_payload(std::uint32_t index);
     static constexpr milliseconds crash_delay{10};
 
@@ -41,41 +41,42 @@
 
     [[nodiscard]] bool listen(const endpoint& where) { return m_server.listen(where); }
     [[nodiscard]] std::uint16_t port() const { return m_server.port(); }
-    /// Its entry in the platform's directory.
+    /// Value of the VM's entry in the platform's directory.
     [[nodiscard]] std::string registration(const std::string& pool) const {
         return registration(pool, m_server.port());
     }
-    /// The same for a VM that is reached through another port.
+    /// As above, for a VM that is reached through another port.
     [[nodiscard]] std::string registration(const std::string& pool, std::uint16_t port) const;
     [[nodiscard]] const std::string& incarnation() const noexcept { return m_incarnation; }
     [[nodiscard]] const std::vector<run_record>& runs() const noexcept { return m_runs; }
 
-    /// All runs end as failed, those that go on at once.
+    /// While set, runs end as failed, including those already running.
     void set_failing(bool failing) { m_failing = failing; }
-    /// It says that it will leave.
+    /// Makes later registrations report that the VM drains.
     void set_draining() { m_draining = true; }
-    /// What it says that it has room for. It starts whatever it is told to.
+    /// Sets the capacity that the VM reports. The VM doesn't check its capacity before it starts a run.
     void set_capacity(const jobs::resources& capacity) { m_capacity = capacity; }
     [[nodiscard]] const jobs::resources& capacity() const noexcept { return m_capacity; }
-    /// The machine that it says it runs on; its own name otherwise.
+    /// Sets the machine that the VM reports. The default name is derived from the incarnation.
     void set_machine(std::string machine) { m_machine = std::move(machine); }
-    /// Called once when a task crashes the VM. It answers nothing from then on, and is to be destroyed.
+    /// Sets a handler that is called once, when a task crashes the VM. The VM answers no calls from then on,
+    /// and its owner must destroy it.
     void on_crash(std::function<void()> handler) { m_on_crash = std::move(handler); }
 
-    /// Answers nothing more; what runs goes on until its lease ends.
+    /// While set, answers no calls. Runs continue until the lease expires.
     void set_silent(bool silent) { m_silent = silent; }
-    /// Neither carries the next so many stops out nor answers them.
+    /// Neither executes nor answers the next `stops` stops.
     void lose_stops(int stops) { m_lost_stops = stops; }
-    /// Stops that are still to be lost.
+    /// Number of stops that are still to be lost.
     [[nodiscard]] int remaining_lost_stops() const noexcept { return m_lost_stops; }
-    /// Answers none of the next so many starts and carries them out after `delay`, if they still hold then.
+    /// Executes the next `starts` starts after `delay`, if they are still valid then, without answering them.
     void delay_starts(int starts, milliseconds delay) {
         m_late_starts = starts;
         m_start_delay = delay;
     }
-    /// Starts that have come and are still to be carried out.
+    /// Number of delayed starts that are still pending.
     [[nodiscard]] std::size_t pending_late_starts() const noexcept { return m_late_orders.size(); }
-    /// How fast its clock runs against ours.
+    /// Sets the rate of the VM's clock relative to the clock of the tests.
     void set_clock_rate(double rate) noexcept { m_clock_rate = rate; }
 
   private:
@@ -90,7 +91,7 @@
     };
     struct ended_run {
         std::int64_t sequence = 0;
-        std::size_t run_index = 0; ///< Position in m_runs.
+        std::size_t run_index = 0; ///< Index in m_runs.
     };
 
     void handle_request(const request_handle& request);
@@ -116,8 +117,7 @@
     http_server m_server;
     std::unique_ptr<timer> m_timer;
     std::vector<run_record> m_runs;
-    std::map<std::string, std::int64_t>
-        m_highest_attempts; ///< Task -> highest attempt that was there or was stopped.
+    std::map<std::string, std::int64_t> m_highest_attempts; ///< Highest attempt started or stopped, by task.
     std::list<ended_run> m_ends;
     std::list<pending_renewal> m_renewals;
     std::vector<request_handle> m_unanswered;
--- a/tests/soak/invariant_checks_test.cpp
+++ b/tests/soak/invariant_checks_test.cpp
@@ -17,7 +17,7 @@
     return {vm, {task, 1, timestamp(started_at), timestamp(ended_at), outcome, timestamp(acknowledged)}};
 }
 
-/// The jobs by their identifiers: j0, j1 ...
+/// Assigns the identifiers j0, j1 ... to the jobs in order.
 std::map<std::string, job_history> with_ids(const std::vector<job_history>& jobs) {
     std::map<std::string, job_history> result;
     for (const job_history& item : jobs) {
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("the soak's checks find what must not happen, and nothing else") {
+TEST_CASE("check_runs reports violations and accepts allowed runs") {
     struct run_case {
         const char* what = "";
         job_history job;
@@ -41,37 +41,47 @@
     job_history cancelled = accepted;
     cancelled.cancelled = timestamp(10'000);
     for (const run_case& item : {
-             run_case{"both ran", completed, {run_of("j.0.0.0", "v", 1, 2), run_of("j.0.0.1", "v", 1, 2)}, 0},
-             run_case{"one after the other",
+             run_case{"both tasks ran once",
+                      completed,
+                      {run_of("j.0.0.0", "v", 1, 2), run_of("j.0.0.1", "v", 1, 2)},
+                      0},
+             run_case{"second run after the lease of the first expired",
                       accepted,
                       {run_of("j.0.0.0", "v", 1, 2, "lapsed"), run_of("j.0.0.0", "w", 2, 3)},
                       0},
-             run_case{"again, as its end was never noted",
+             run_case{"second run after an end that was not acknowledged",
                       accepted,
                       {run_of("j.0.0.0", "v", 1, 2), run_of("j.0.0.0", "w", 3, 4)},
                       0},
-             run_case{
-                 "two at a time", accepted, {run_of("j.0.0.0", "v", 1, 5), run_of("j.0.0.0", "w", 4, 6)}, 1},
-             run_case{"beside one that goes on",
+             run_case{"two overlapping runs",
+                      accepted,
+                      {run_of("j.0.0.0", "v", 1, 5), run_of("j.0.0.0", "w", 4, 6)},
+                      1},
+             run_case{"second run while the first is still running",
                       accepted,
                       {run_of("j.0.0.0", "v", 1, 0, ""), run_of("j.0.0.0", "w", 4, 6)},
                       1},
-             run_case{"again after a noted end",
+             run_case{"second run after an acknowledged end",
                       accepted,
                       {run_of("j.0.0.0", "v", 1, 2, "done", 3), run_of("j.0.0.0", "w", 4, 5)},
                       1},
-             run_case{"refused, and run", {.tasks = 1}, {run_of("j.0.0.0", "v", 1, 2)}, 1},
-             run_case{"outcome open, and run",
+             run_case{"run of a refused job", {.tasks = 1}, {run_of("j.0.0.0", "v", 1, 2)}, 1},
+             run_case{"run of a job whose submit is in flight",
                       {.tasks = 1, .submit_in_flight = true},
                       {run_of("j.0.0.0", "v", 1, 2)},
                       0},
-             run_case{"shown too early", completed, {run_of("j.0.0.0", "v", 1, 2)}, 1},
-             run_case{
-                 "in time before its cancelling", cancelled, {run_of("j.0.0.0", "v", 14'000, 14'100)}, 0},
-             run_case{"long after its cancelling", cancelled, {run_of("j.0.0.0", "v", 15'001, 15'100)}, 1},
-             run_case{"nobody's", accepted, {run_of("other.0.0.0", "v", 1, 2)}, 1},
+             run_case{"shown as completed with a task missing", completed, {run_of("j.0.0.0", "v", 1, 2)}, 1},
+             run_case{"started within the bound after the cancellation",
+                      cancelled,
+                      {run_of("j.0.0.0", "v", 14'000, 14'100)},
+                      0},
+             run_case{"started beyond the bound after the cancellation",
+                      cancelled,
+                      {run_of("j.0.0.0", "v", 15'001, 15'100)},
+                      1},
+             run_case{"run of an unknown job", accepted, {run_of("other.0.0.0", "v", 1, 2)}, 1},
              run_case{
-                 "too many at once",
+                 "more concurrent runs than fit on the VM",
                  accepted,
                  {run_of("j.0.0.0", "v", 1, 9), run_of("j.0.0.1", "v", 2, 9), run_of("j.0.0.2", "v", 3, 9)},
                  1},
@@ -81,59 +91,61 @@
     }
 }
 
-TEST_CASE("jobs count as unfinished until they are shown as completed") {
+TEST_CASE("jobs are unfinished until they are cancelled or shown as completed") {
     std::map<std::string, job_history> jobs;
     jobs["never accepted"] = {.tasks = 1};
     jobs["open"] = {.tasks = 1, .may_run = true, .accepted = timestamp(1)};
     jobs["cancelled"] = {.tasks = 1, .accepted = timestamp(1), .cancel_sent = true};
     jobs["completed"] = {.tasks = 1, .accepted = timestamp(1), .completed = true};
-    jobs["endless, cancelling not answered"] = {
+    jobs["long-running, cancellation not confirmed"] = {
         .tasks = 1, .long_running = true, .accepted = timestamp(1), .cancel_sent = true};
-    jobs["endless, cancelled"] = {
+    jobs["long-running, cancelled"] = {
         .tasks = 1, .long_running = true, .accepted = timestamp(1), .cancelled = timestamp(2)};
-    CHECK(unfinished_jobs(jobs) == std::vector<std::string>{"endless, cancelling not answered", "open"});
+    CHECK(unfinished_jobs(jobs) ==
+          std::vector<std::string>{"long-running, cancellation not confirmed", "open"});
 }
 
-TEST_CASE("a process that shows an older configuration is found, one that shows the next one is not") {
-    // The soak reports "went back from configuration 6: asked for 6, got 404" of a node that did not. The
-    // node, which gets the processor for moments only, read the question and version 8, which replaces the
-    // queue of 6, in one turn; it put 8 in force and then answered that the queue of 6 is missing.
+TEST_CASE("a process that returns to an older configuration is reported, one that uses a newer one is not") {
+    // Guards against the false report "went back from configuration 6: asked for 6, got 404". A node with
+    // little processor time reads the query and version 8, which replaces the queue of 6, in one iteration.
+    // It puts 8 in force first and then answers that the queue of 6 is missing.
     struct probe_case {
         const char* what = "";
         configuration_probe probe;
         bool is_older = false;
     };
     for (const probe_case& item : {
-             probe_case{"the newest, and there",
+             probe_case{"newest version, queue present",
                         {.queried_version = 6, .newest_seen = 6, .newest_published = 6, .is_present = true},
                         false},
-             probe_case{"not in force yet",
+             probe_case{"newer version not in force yet",
                         {.queried_version = 6, .newest_seen = 4, .newest_published = 6, .is_missing = true},
                         false},
-             probe_case{"seen, and missing",
+             probe_case{"observed version, queue missing",
                         {.queried_version = 6, .newest_seen = 6, .newest_published = 6, .is_missing = true},
                         true},
-             probe_case{"seen, and replaced since it was asked for",
+             probe_case{"observed version, replaced after the query was sent",
                         {.queried_version = 6, .newest_seen = 6, .newest_published = 8, .is_missing = true},
                         false},
-             probe_case{"older, and there",
+             probe_case{"older version, queue present",
                         {.queried_version = 4, .newest_seen = 6, .newest_published = 6, .is_present = true},
                         true},
-             probe_case{"older, and there, with a newer one",
+             probe_case{"older version, queue present, after a newer version was published",
                         {.queried_version = 4, .newest_seen = 6, .newest_published = 8, .is_present = true},
                         true},
-             probe_case{"older, and missing",
+             probe_case{"older version, queue missing",
                         {.queried_version = 4, .newest_seen = 6, .newest_published = 6, .is_missing = true},
                         false},
-             probe_case{
-                 "tells nothing", {.queried_version = 6, .newest_seen = 6, .newest_published = 6}, false},
+             probe_case{"inconclusive answer",
+                        {.queried_version = 6, .newest_seen = 6, .newest_published = 6},
+                        false},
          }) {
         INFO(std::string(item.what));
         CHECK(shows_older_configuration(item.probe) == item.is_older);
     }
 }
 
-TEST_CASE("runs of cancelled jobs that go on are found") {
+TEST_CASE("runs that continue after the cancellation of their job are reported") {
     const std::map<std::string, job_history> jobs{{"gone", {.tasks = 1, .cancelled = timestamp(5)}},
                                                   {"open", {.tasks = 1}}};
     const std::vector<vm_run> runs{run_of("gone.0.0.0", "v", 1, 6, "stopped"),
@@ -143,10 +155,10 @@
     CHECK(left[0].starts_with("gone.0.0.0#1@w"));
 }
 
-TEST_CASE("a count that is under half of the jobs that waited for seconds is found") {
-    // The queue's operators are told that 29 jobs wait while 117 accepted ones have waited for five seconds.
-    // Entries left jobs in the store's inbox and told their clients that they are accepted; the pool's owner
-    // counted only the jobs that it had taken from there. Nothing else looks wrong: all jobs run in the end.
+TEST_CASE("a count below half of the jobs that waited for seconds is reported") {
+    // Guards against a count of 29 waiting jobs while 117 accepted ones have waited for five seconds. Entries
+    // accept jobs into the store's inbox, and the pool's owner counts only jobs already transferred from
+    // there. No other check detects this, since all jobs run in the end.
     const job_history waiting{
         .tasks = 1, .may_run = true, .submitted = timestamp(900), .accepted = timestamp(1000)};
     job_history ended = waiting;
@@ -167,22 +179,23 @@
         std::vector<vm_run> runs;
     };
     for (const count_case& item : {
-             count_case{"all told", {waiting, waiting}, 2, 0, {}},
-             count_case{"half told", {waiting, waiting, waiting, waiting}, 2, 0, {}},
-             count_case{"one of three told", {waiting, waiting, waiting}, 1, 1, {}},
-             count_case{"none of one told", {waiting}, 0, 1, {}},
-             count_case{"too many told, which an old copy may", {waiting}, 9, 0, {}},
-             count_case{"cancelled, which may be slow", {cancelled}, 0, 0, {}},
-             count_case{"accepted five seconds before, not more", {young}, 0, 0, {}},
-             count_case{"acceptance not known", {unknown}, 0, 0, {}},
-             count_case{"begun when the answer came", {waiting}, 0, 0, {run_of("j0.0.0.0", "v", 10'500, 0)}},
-             count_case{"begun after the answer", {waiting}, 0, 1, {run_of("j0.0.0.0", "v", 10'501, 0)}},
-             count_case{"begun, crashed and again",
+             count_case{"all jobs counted", {waiting, waiting}, 2, 0, {}},
+             count_case{"half of the jobs counted", {waiting, waiting, waiting, waiting}, 2, 0, {}},
+             count_case{"one of three jobs counted", {waiting, waiting, waiting}, 1, 1, {}},
+             count_case{"the only job not counted", {waiting}, 0, 1, {}},
+             count_case{"count too high, which a cached copy may cause", {waiting}, 9, 0, {}},
+             count_case{"cancellation sent, which may take effect late", {cancelled}, 0, 0, {}},
+             count_case{"accepted five seconds before the query, not more", {young}, 0, 0, {}},
+             count_case{"outcome of the submit unknown", {unknown}, 0, 0, {}},
+             count_case{
+                 "started when the answer arrived", {waiting}, 0, 0, {run_of("j0.0.0.0", "v", 10'500, 0)}},
+             count_case{"started after the answer", {waiting}, 0, 1, {run_of("j0.0.0.0", "v", 10'501, 0)}},
+             count_case{"started, crashed and started again",
                         {waiting},
                         0,
                         0,
                         {run_of("j0.0.0.0", "v", 11'000, 0), run_of("j0.0.0.1", "w", 9000, 9500, "crashed")}},
-             count_case{"ended", {ended}, 0, 0, {run_of("j0.0.0.0", "v", 2000, 3000)}},
+             count_case{"completed", {ended}, 0, 0, {run_of("j0.0.0.0", "v", 2000, 3000)}},
          }) {
         INFO(std::string(item.what));
         const std::vector<reported_count> reported{{0, sent, answered, item.reported}};
@@ -190,10 +203,10 @@
     }
 }
 
-TEST_CASE("once all has settled a count is neither too low nor too high, and each node tells one") {
-    // A queue's operators read that jobs wait when none does, or none of its nodes tells a count any more.
-    // The faults are long over, clients see all jobs run; an owner or an entry goes on with what it held
-    // while they lasted: a copy that is never made anew, jobs that it takes for unsettled for good.
+TEST_CASE("after all faults, counts are neither too low nor too high, and each node reports one") {
+    // Guards against a node that reports waiting jobs when there are none, or no count at all, long after the
+    // faults ended and although all jobs run. An owner or an entry keeps outdated state from the time of the
+    // faults: a cached count that is never refreshed, or jobs that stay unconfirmed.
     const job_history waiting{
         .tasks = 1, .may_run = true, .submitted = timestamp(900), .accepted = timestamp(1000)};
     job_history handed_in_later = waiting;
@@ -222,31 +235,36 @@
         std::vector<vm_run> runs;
     };
     for (const final_case& item : {
-             final_case{"nothing waits, none told", {}, {none}, 1, 0, {}},
-             final_case{"nothing waits, one told", {}, {one}, 1, 1, {}},
-             final_case{"one waits, one told", {waiting}, {one}, 1, 0, {}},
-             final_case{"one waits, none told", {waiting}, {none}, 1, 1, {}},
-             final_case{"one waits, over twice as many told", {waiting}, {three}, 1, 1, {}},
-             final_case{"begun within the age of a count",
+             final_case{"no job waits, 0 reported", {}, {none}, 1, 0, {}},
+             final_case{"no job waits, 1 reported", {}, {one}, 1, 1, {}},
+             final_case{"one job waits, 1 reported", {waiting}, {one}, 1, 0, {}},
+             final_case{"one job waits, 0 reported", {waiting}, {none}, 1, 1, {}},
+             final_case{"one job waits, over twice as many reported", {waiting}, {three}, 1, 1, {}},
+             final_case{"started within the age of a count",
                         {waiting},
                         {one},
                         1,
                         0,
                         {run_of("j0.0.0.0", "v", 8000, 0)}},
-             final_case{"begun before that", {waiting}, {one}, 1, 1, {run_of("j0.0.0.0", "v", 7999, 0)}},
-             final_case{"handed in after the answer", {handed_in_later}, {one}, 1, 1, {}},
-             final_case{"cancelled within the age", {cancelled_lately}, {one}, 1, 0, {}},
-             final_case{"cancelled before that", {cancelled_long_ago}, {one}, 1, 1, {}},
-             final_case{"never known as accepted, never run", {unknown}, {one}, 1, 1, {}},
-             final_case{"never known as accepted, run later",
+             final_case{"started before the age of a count",
+                        {waiting},
+                        {one},
+                        1,
+                        1,
+                        {run_of("j0.0.0.0", "v", 7999, 0)}},
+             final_case{"submitted after the answer", {handed_in_later}, {one}, 1, 1, {}},
+             final_case{"cancelled within the age of a count", {cancelled_lately}, {one}, 1, 0, {}},
+             final_case{"cancelled before the age of a count", {cancelled_long_ago}, {one}, 1, 1, {}},
+             final_case{"outcome of the submit unknown, never run", {unknown}, {one}, 1, 1, {}},
+             final_case{"outcome of the submit unknown, run later",
                         {unknown},
                         {one},
                         1,
                         0,
                         {run_of("j0.0.0.0", "v", 12'000, 0)}},
-             final_case{"each of two tells", {}, {none, other_node}, 2, 0, {}},
-             final_case{"one of two tells", {}, {none, none}, 2, 1, {}},
-             final_case{"none of two tells", {}, {}, 2, 2, {}},
+             final_case{"both of two nodes report", {}, {none, other_node}, 2, 0, {}},
+             final_case{"one of two nodes reports", {}, {none, none}, 2, 1, {}},
+             final_case{"neither of two nodes reports", {}, {}, 2, 2, {}},
          }) {
         INFO(std::string(item.what));
         CHECK(check_final_counts(with_ids(item.jobs), item.runs, item.reported, bounds, item.nodes).size() ==
@@ -254,7 +272,7 @@
     }
 }
 
-TEST_CASE("a seed gives one plan, with faults that overlap") {
+TEST_CASE("a seed always gives the same plan, with overlapping faults") {
     const std::vector<planned_fault> plan = make_plan(7, 20s);
     CHECK(plan == make_plan(7, 20s));
     CHECK(plan != make_plan(8, 20s));
@@ -266,8 +284,7 @@
     CHECK(overlaps > plan.size() / 4);
 }
 
-TEST_CASE(
-    "what fills the inbox and shrinks VMs comes beside the faults that a seed has always given, and lasts") {
+TEST_CASE("periodic faults leave the random faults of a seed unchanged and last long enough") {
     std::vector<planned_fault> plan = make_plan(7, 20s);
     const auto is_slow = [](const planned_fault& item) { return item.kind == fault_kind::node_slow; };
     const auto is_job_hold = [](const planned_fault& item) {
@@ -295,9 +312,8 @@
               .start_offset = 19440ms, .duration = 852ms, .kind = fault_kind::node_kill, .target = 54805});
 }
 
-// Guards against a check of the VMs' room that goes by the capacity of long ago, or forgets what is being
-// stopped.
-TEST_CASE("the soak finds starts beyond what a VM said it had room for") {
+// Guards against a capacity check that uses an outdated capacity, or ignores runs that are being stopped.
+TEST_CASE("check_capacity reports starts beyond the capacity that a VM reported") {
     struct row {
         const char* what = "";
         std::vector<fakes::vm_capacity> capacities;
@@ -308,19 +324,25 @@
     const std::vector<fakes::vm_capacity> shrunk{{"v", timestamp(1), 1000}, {"v", timestamp(10'000), 500}};
     const vm_run early = run_of("j.0.0.0", "v", 2000, 30'000);
     for (const row& item : {
-             row{"as many as fit", shrunk, {early, run_of("j.0.0.1", "v", 9000, 9500)}, 0},
-             row{"one more",
+             row{"as many runs as fit", shrunk, {early, run_of("j.0.0.1", "v", 9000, 9500)}, 0},
+             row{"one run more than fits",
                  shrunk,
                  {early, run_of("j.0.0.1", "v", 9000, 9500), run_of("j.0.0.2", "v", 9100, 9200)},
                  1},
-             row{"a moment after it shrank", shrunk, {early, run_of("j.0.0.1", "v", 14'000, 14'100)}, 0},
-             row{"later", shrunk, {early, run_of("j.0.0.1", "v", 15'000, 15'100)}, 1},
-             row{"what is left has ended",
+             row{"start within the lag after the VM shrank",
+                 shrunk,
+                 {early, run_of("j.0.0.1", "v", 14'000, 14'100)},
+                 0},
+             row{"start beyond the lag after the VM shrank",
+                 shrunk,
+                 {early, run_of("j.0.0.1", "v", 15'000, 15'100)},
+                 1},
+             row{"start after the earlier run has ended",
                  shrunk,
                  {run_of("j.0.0.0", "v", 2000, 14'900), run_of("j.0.0.1", "v", 15'000, 15'100)},
                  0},
-             row{"another VM", shrunk, {early, run_of("j.0.0.1", "w", 15'000, 15'100)}, 1},
-             row{"it grew",
+             row{"start on another VM", shrunk, {early, run_of("j.0.0.1", "w", 15'000, 15'100)}, 1},
+             row{"start after the VM grew",
                  {{"v", timestamp(1), 500}, {"v", timestamp(3000), 1000}},
                  {early, run_of("j.0.0.1", "v", 3001, 4000)},
                  0},
@@ -330,19 +352,19 @@
     }
 }
 
-// Guards against a check that takes the starts of owners out of touch, or of sound jobs, for breaches.
-TEST_CASE("the soak finds tasks that are started again and again after VMs have crashed under them") {
+// Guards against a check that reports starts by owners without contact, or runs of jobs that are not faulty.
+TEST_CASE("check_crashes reports tasks that are started repeatedly after crashing VMs") {
     struct row {
         const char* what = "";
-        std::size_t crashes = 0;         ///< Runs that end so, one after the other.
-        std::size_t without_contact = 0; ///< So many of the last.
+        std::size_t crashes = 0;         ///< Number of successive runs that end in a crash.
+        std::size_t without_contact = 0; ///< Number of last runs whose owner has no contact.
         bool faulty = true;
         std::size_t problems = 0;
     };
-    for (const row& item :
-         {row{"three", 3, 0, true, 0}, row{"five", 5, 0, true, 0}, row{"six", 6, 0, true, 1},
-          row{"six, the last by an owner out of touch", 6, 1, true, 0},
-          row{"six of a sound job", 6, 0, false, 0}}) {
+    for (const row& item : {row{"three crashes", 3, 0, true, 0}, row{"five crashes", 5, 0, true, 0},
+                            row{"six crashes", 6, 0, true, 1},
+                            row{"six crashes, the last with an owner without contact", 6, 1, true, 0},
+                            row{"six crashes of a job that is not faulty", 6, 0, false, 0}}) {
         INFO(std::string(item.what));
         std::vector<vm_run> runs;
         for (std::size_t i = 0; i < item.crashes; ++i) {
