--- a/jobs/balance.cpp
+++ b/jobs/balance.cpp
@@ -25,8 +25,8 @@
     std::size_t retained = 0;                 ///< Machines above this number may be released.
     std::size_t wanted_for_late = 0;          ///< Further machines it can use for late work.
     std::vector<const balance_machine*> idle; ///< Can be moved at once.
-    std::vector<const balance_machine*>
-        evacuation_candidates; ///< Can be moved once their short runs have ended.
+    /// Can be moved once their short runs have ended.
+    std::vector<const balance_machine*> evacuation_candidates;
 
     [[nodiscard]] std::size_t missing() const noexcept { return wanted > held ? wanted - held : 0; }
     [[nodiscard]] std::size_t surplus() const noexcept { return held > wanted ? held - wanted : 0; }
--- a/jobs/balance.hpp
+++ b/jobs/balance.hpp
@@ -40,8 +40,8 @@
 /// A pool's demand as reported by the pool's owner.
 struct pool_demand {
     std::int64_t need_millicores = 0; ///< Capacity needed now to finish jobs within their objectives.
-    std::int64_t retained_millicores =
-        0; ///< The same, decaying slowly: capacity worth keeping for demand to come.
+    /// The same, decaying slowly: capacity worth keeping for demand to come.
+    std::int64_t retained_millicores = 0;
     /// Further capacity for accepted work that is late. Served only from machines that no pool needs for work
     /// that can still finish in time.
     std::int64_t late_millicores = 0;
@@ -93,11 +93,10 @@
 /// State carried over from one plan to the next.
 struct balance_state {
     std::map<std::string, timestamp> surplus_since; ///< Pool -> when its surplus began.
-    std::set<std::pair<std::string, std::string>>
-        refused_kinds; ///< Pairs of machine kind and pool for which a move was refused.
+    /// Pairs of machine kind and pool for which a move was refused.
+    std::set<std::pair<std::string, std::string>> refused_kinds;
 };
 
-/// Settings of the balancing.
 struct balance_settings {
     /// VMs that a pool keeps regardless of its demand, so that it still serves after losing one.
     std::size_t min_vms = 2;
--- a/jobs/evacuation_list.hpp
+++ b/jobs/evacuation_list.hpp
@@ -26,12 +26,10 @@
         const auto found = m_vms.find(pool);
         return found != m_vms.end() && found->second.contains(vm);
     }
-    /// The VMs of one pool.
     [[nodiscard]] std::set<std::string> vms_of_pool(const std::string& pool) const {
         const auto found = m_vms.find(pool);
         return found == m_vms.end() ? std::set<std::string>{} : found->second;
     }
-    /// The VMs of all pools.
     [[nodiscard]] std::set<std::string> all_vms() const {
         std::set<std::string> result;
         for (const auto& [pool, vms] : m_vms) {
--- a/jobs/job.hpp
+++ b/jobs/job.hpp
@@ -68,9 +68,9 @@
     bool long_running = false;    ///< Runs until the job is cancelled; restarted however a run ends.
     std::string image;
     std::int64_t target_tail_latency_ms = 0; ///< Bound on the tail latency of a serving task, ms; 0: none.
-    /// Runs on processor time that other tasks leave idle; only its memory counts against capacity.
+    /// Runs on processor time that other tasks leave idle; its processor need doesn't count against capacity.
     bool best_effort = false;
-    /// Maximum number of tasks of a long-running step that may be kept unavailable at once.
+    /// Maximum number of tasks of a long-running step that may be kept unavailable at once; 0: unlimited.
     std::uint32_t disruption_budget = 0;
 
     template <typename Archive>
@@ -88,7 +88,7 @@
     std::string payload;
     std::vector<step_spec> steps;
     std::uint32_t occurrences = 1;
-    bool has_due_times = false;   ///< Occurrences have due times.
+    bool has_due_times = false;
     std::int64_t start_at_ms = 0; ///< Time of day of the first occurrence, ms since 1970.
     std::int64_t period_ms = 0;
 
@@ -120,7 +120,6 @@
 /// Phase of a job as reported to clients.
 enum class job_phase : std::uint8_t { queued, running, completed, failed, cancelled };
 
-/// Whether the phase is final.
 [[nodiscard]] constexpr bool is_final(job_phase phase) noexcept {
     return phase >= job_phase::completed;
 }
--- a/jobs/job_admission.cpp
+++ b/jobs/job_admission.cpp
@@ -17,9 +17,10 @@
 /// Maximum expected end of a job as a multiple of its objective. Above 1, jobs that most likely end late are
 /// accepted; below 1, machines are idle whenever the estimate of the queue is too long.
 constexpr double admission_slack = 1.0;
-/// Clients receive the retry delay in whole seconds. A delay longer than the queue takes to drain is of no
-/// use to a client whose own objective is a few seconds.
+/// Clients receive the retry delay in whole seconds.
 constexpr milliseconds min_retry_after = 1s;
+/// A delay longer than the queue takes to drain is of no use to a client whose own objective is a few
+/// seconds.
 constexpr milliseconds max_retry_after = 5s;
 
 /// Time over which arriving work is averaged: long enough for a few jobs even of the rare large kinds, within
@@ -28,7 +29,7 @@
 /// Fewer jobs than this in the window don't determine a rate.
 constexpr std::size_t min_arrivals = 3;
 /// The rise of the rate is computed from two spans of this length: long enough to contain dozens of jobs at
-/// the rates that need many machines, short compared with the four seconds in which demand rises.
+/// the rates that need many machines, short compared with the four seconds in which a demand peak rises.
 constexpr milliseconds trend_span = 1000ms;
 /// How far ahead the rate is extrapolated: from the middle of the last span, half a span back, to the arrival
 /// of machines.
@@ -38,7 +39,8 @@
 constexpr double min_rise_deviations = 1.5;
 /// A rate is extrapolated to at most this multiple of itself.
 constexpr double max_rate_growth = 3;
-/// Time in which the need falls to a third. Peaks of demand last several seconds.
+/// Time in which the smoothed need's excess over the current need falls to about a third. Demand peaks last
+/// several seconds.
 constexpr double need_decay_ms = 1200;
 
 milliseconds allowed_time(std::int64_t critical_path_ms, const queue_settings& queue) {
--- a/jobs/job_admission.hpp
+++ b/jobs/job_admission.hpp
@@ -32,7 +32,7 @@
 
 /// Target time for draining waiting work, ms: well within objectives of two seconds and more.
 inline constexpr std::int64_t drain_time_ms = 1000;
-/// Target time for draining late work, ms: callers wait for this work, but its objective is already missed.
+/// Target time for draining late work, ms: clients wait for this work, but its objective is already missed.
 inline constexpr std::int64_t late_drain_time_ms = 4000;
 
 /// Load of a pool, as used by admission.
@@ -72,7 +72,7 @@
     [[nodiscard]] std::int64_t millicores_for_waiting_work(std::int64_t extra_millicores) const noexcept;
 };
 
-/// Time from the need for a machine to its first task: a round of the machines' owner, and 1.8 s from the
+/// Time from the need for a machine to its first task: a round of the fleet's owner, and 1.8 s from the
 /// order to the first task.
 inline constexpr milliseconds machine_lead_time = 2s;
 
@@ -124,7 +124,7 @@
 /// not a position in the queue.
 ///
 /// While there are machines that no pool wants, a job that will be late is accepted as well if it will still
-/// be of some use: it takes capacity from no other job, and a caller that is refused seldom has time for a
+/// be of some use: it takes capacity from no other job, and a client that is refused seldom has time for a
 /// second attempt. Without such machines, accepting late jobs would let fewer jobs finish in time.
 [[nodiscard]] admission_verdict admit(const job_spec& spec, const queue_settings& queue,
                                       std::int64_t critical_path_ms, const pool_load& load);
--- a/jobs/job_state.hpp
+++ b/jobs/job_state.hpp
@@ -200,8 +200,8 @@
     job_spec m_spec;
     timestamp m_accepted_at;
     job_phase m_phase = job_phase::queued;
-    std::vector<std::uint32_t>
-        m_step_offsets; ///< Index of the first task of each step within one occurrence.
+    /// Index of the first task of each step within one occurrence.
+    std::vector<std::uint32_t> m_step_offsets;
     std::uint32_t m_tasks_per_occurrence = 0;
     std::vector<task_state> m_tasks;
     std::vector<step_counts> m_counts;
--- a/jobs/maintenance.hpp
+++ b/jobs/maintenance.hpp
@@ -56,8 +56,9 @@
 /// How many machines of the wave may be down or being evacuated at a time, so that the wave ends in time with
 /// a reserve. A wave may coincide with a demand peak: taking as many machines at once as the operator allows
 /// would remove a fifth of the fleet in the first seconds of the peak, and the wave would then be finished
-/// long before its deadline. A wave whose start time is not known uses the operator's limit. `remaining`:
-/// machines without confirmed maintenance. `maintenance_time`: how long a machine is down.
+/// long before its deadline. A wave whose deadline is not known, or less than the reserve away, uses the
+/// operator's limit. `remaining`: machines without confirmed maintenance. `maintenance_time`: how long a
+/// machine is down.
 [[nodiscard]] std::size_t wave_concurrency(const wave_state& wave, std::size_t remaining,
                                            milliseconds maintenance_time, timestamp now);
 
--- a/jobs/placement.hpp
+++ b/jobs/placement.hpp
@@ -11,11 +11,9 @@
 
 using vm_table = std::map<std::string, vm_state, std::less<>>;
 
-/// Capacity that a run of the step reserves on its VM. Tasks that use leftover processor time reserve no
-/// processor time.
+/// Capacity that a run of the step reserves on its VM. Best-effort tasks reserve no processor time.
 [[nodiscard]] resources reserved_resources(const step_spec& step);
 
-/// Settings of placement.
 struct placement_settings {
     /// A VM whose last response is older gets no new runs, since it may have failed. Longer than the longest
     /// wait of a lease renewal (2 s) plus its round trip.
@@ -32,9 +30,9 @@
                                   const placement_settings& settings, const step_advice* advice,
                                   const std::string& preferred_rack, timestamp now);
 
-/// Chooses the VM for a suspect task: prefers VMs without suspect tasks of other jobs, then the VM whose loss
-/// would cause the least damage. `allow_new_vm`: whether VMs without suspect tasks are eligible. Parameters
-/// and result as for `choose_vm`.
+/// Chooses the VM for a suspected task: prefers VMs without suspected tasks of other jobs, then the VM whose
+/// loss would cause the least damage. `allow_new_vm`: whether VMs without suspected tasks are eligible. Other
+/// parameters and result as for `choose_vm`.
 [[nodiscard]] vm_state* choose_vm_for_suspect(vm_table& vms, const job_state& job, const task_id& task,
                                               const placement_settings& settings, const step_advice* advice,
                                               const std::string& preferred_rack, bool allow_new_vm,
--- a/jobs/scheduler.hpp
+++ b/jobs/scheduler.hpp
@@ -28,8 +28,8 @@
     milliseconds takeover_timeout = 12s;
     milliseconds max_stop_time = 1s; ///< A stopped run ends within this time; its VM lists it until then.
     milliseconds stop_retry_interval = 600ms; ///< A stop without an answer is sent again after this interval.
-    std::size_t frequent_poll_runs =
-        3; ///< A VM with this many runs that aren't long-running is polled frequently.
+    /// A VM with this many runs that aren't long-running is polled frequently.
+    std::size_t frequent_poll_runs = 3;
     /// Attempt numbers of one owner; those of its successor are higher.
     std::uint32_t attempts_per_epoch = 1000;
     placement_settings placement;
@@ -165,8 +165,8 @@
 
     // --- Deciding ---
 
-    /// `wall_ms`: time of day for jobs with due times. `ownership_confirmed`: no other node can have owned
-    /// the pool since; only then does an unresponsive VM count as ended after its lease, since a successor
+    /// `wall_ms`: time of day for jobs with due times. `ownership_confirmed`: no other node can have taken
+    /// over the pool; only then does an unresponsive VM count as ended after its lease, since a successor
     /// that reaches the VM would renew its lease.
     [[nodiscard]] decisions decide(timestamp now, std::int64_t wall_ms, bool ownership_confirmed);
     /// Whether starts were held back until earlier ones are answered, and enough of these are. Checked with
@@ -180,8 +180,8 @@
     /// Records a submitted job, accepted or refused; it counts as demand for a while.
     void record_job_arrival(const job_spec& spec, timestamp now);
     /// Sets the number of VMs that are being moved to the pool, and of machines that no pool wants. Valid
-    /// until the next call, which comes with each round of the machines' owner; when that owner dies, with
-    /// its successor's first round, 2.2 s later.
+    /// until the next call, which comes with each round of the fleet's owner; when that owner dies, with its
+    /// successor's first round, 2.2 s later.
     void set_expected_vms(std::size_t arriving, std::size_t obtainable) {
         m_arriving_vms = arriving;
         m_obtainable_vms = obtainable;
@@ -280,8 +280,8 @@
     std::vector<queue_settings> m_queues;
     std::map<std::string, job_state, std::less<>> m_jobs;
     vm_table m_vms;
-    std::set<std::string>
-        m_unconfirmed_vms; ///< VMs that may run tasks of a previous owner and did not report yet.
+    /// VMs that may run tasks of a previous owner and have not reported yet.
+    std::set<std::string> m_unconfirmed_vms;
     timestamp m_takeover_deadline;
     bool m_takeover_completed = false;
     std::set<std::string> m_changed_jobs; ///< Jobs to store.
@@ -302,8 +302,8 @@
     std::map<std::tuple<std::string, std::uint32_t, std::uint32_t>, step_advice> m_advice;
     std::set<task_id> m_suspects; ///< Tasks with crash evidence recorded against them.
     recent_vm_ends m_recent_ends;
-    std::map<std::string, std::string>
-        m_unresponsive_vms; ///< VMs whose end is not confirmed -> their machine.
+    /// VMs whose end is not confirmed -> their machine.
+    std::map<std::string, std::string> m_unresponsive_vms;
     /// VMs of the previous owner that crashed before they reported.
     std::vector<std::string> m_ended_unconfirmed_vms;
     std::string m_last_suspect_job;         ///< Job of the suspected task that was started last.
@@ -311,8 +311,8 @@
     bool m_has_suspect_marks = false;       ///< VMs are marked as running suspected tasks.
     bool m_isolation_lacks_vm = false;      ///< A task to be isolated finds no VM without long-running tasks.
     start_window m_start_window;
-    std::optional<std::int64_t>
-        m_sustained_millicores; ///< Set while starts are held back; as of the last decision.
+    /// Set while starts are held back; as of the last decision.
+    std::optional<std::int64_t> m_sustained_millicores;
     decisions m_pending_decisions;
 };
 
--- a/jobs/scheduler_suspects.cpp
+++ b/jobs/scheduler_suspects.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-/// Time that a suspected task waits for capacity on VMs that already run suspected tasks.
+/// A suspected task that has waited this long for capacity on VMs that already run suspected tasks may start
+/// on another VM even if max_vms_at_risk() is reached.
 constexpr milliseconds spread_delay = 1500ms;
 /// Time that a task to be isolated waits for a VM without long-running tasks; machines arrive within it.
 constexpr milliseconds isolation_timeout = 2500ms;
@@ -49,8 +50,8 @@
     }
 }
 
-/// Without this record, an owner that dies between a crash and the VM's next incarnation would lose the
-/// evidence.
+/// Records the runs on unresponsive VMs as evidence before the end of the VM is certain. Without this record,
+/// an owner that dies between a crash and the VM's next incarnation would lose the evidence.
 void scheduler::record_unresponsive_vms(timestamp now) {
     if (m_suspects.empty()) {
         std::erase_if(m_unresponsive_vms, [this](const auto& item) { return !m_vms.contains(item.first); });
--- a/jobs/scheduler_vms.cpp
+++ b/jobs/scheduler_vms.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Maximum number of ends in a VM's report; a full report doesn't show which runs are missing.
+/// Maximum number of ends in a VM's report. A full report may leave out further ends, so it doesn't show
+/// which runs are missing.
 constexpr std::size_t ends_in_full_report = 500;
 /// Time for which a VM that reports itself unhealthy gets no starts.
 constexpr milliseconds unhealthy_pause = 1s;
@@ -231,8 +232,8 @@
 }
 
 /// A VM with this many short tasks reports an end within the interval of frequent polls anyway, so that
-/// frequent polls cost few additional calls. A poll whose answer is lost is detected about as much sooner:
-/// until then no end on the VM is known and no free capacity there is used again.
+/// frequent polls cost few additional calls. They also detect sooner that the answer to a poll is lost: until
+/// then no end on the VM is known and no free capacity there is used again.
 bool scheduler::needs_frequent_polling(const std::string& name) const {
     const auto found = m_vms.find(name);
     if (found == m_vms.end()) {
--- a/jobs/start_window.hpp
+++ b/jobs/start_window.hpp
@@ -9,7 +9,6 @@
 
 namespace siskinpaddle::jobs {
 
-/// Settings of the window.
 struct start_window_settings {
     /// Maximum bytes of start orders in flight: what the owner's link carries in a fraction of the timeouts
     /// of all calls that share the link.
--- a/jobs/suspicion.cpp
+++ b/jobs/suspicion.cpp
@@ -14,8 +14,8 @@
 constexpr int give_up_weight_alone = 3 * crash_weight;
 /// Otherwise four crashes are needed. The users require that no third start follows the third crash.
 constexpr int give_up_weight_shared = 4 * crash_weight;
-/// Ends that no other task explains give a task up at this number in any case; the start after the last of
-/// them could be that third one.
+/// A task is given up in any case after this many ends that no other task explains: its next start could be
+/// that third one.
 constexpr std::size_t max_unexplained_ends = 5;
 constexpr int isolation_weight = crash_weight + uncertain_weight;
 /// Difference of ages within which crashes count as the same. A program that crashes its VM does so at about
--- a/jobs/suspicion.hpp
+++ b/jobs/suspicion.hpp
@@ -59,10 +59,10 @@
 ///
 /// A program that crashes its VM does so at about the same age of its run: of the crashes, the largest group
 /// that came at one age counts. Ends that may have other causes count half. A task is given up at three
-/// crashes if it was alone at the last one, else at four, and in any case at the fifth end in a row that no
-/// other task explains. Without this limit, a task that crashes every VM that starts it would crash all VMs
-/// of its pool, one after the other. A task that only ran beside such a task is isolated for at most one run,
-/// completes it, and is cleared.
+/// crashes if it was alone at the last one, else at four, and in any case at the fifth end that no other task
+/// explains. Without this limit, a task that crashes every VM that starts it would crash all VMs of its pool,
+/// one after the other. A task that only ran beside such a task is isolated for at most one run, completes
+/// it, and is cleared.
 [[nodiscard]] suspicion suspicion_of(std::span<const crash_evidence> evidence) noexcept;
 
 /// A run that has lasted this long did not crash its VM by being started there: the end of the VM is no
--- a/jobs/vm.hpp
+++ b/jobs/vm.hpp
@@ -71,7 +71,7 @@
 enum class order_outcome : std::uint8_t {
     accepted,
     refused_fenced,    ///< The VM has seen a higher fencing token.
-    refused_outdated,  ///< The VM has the same or a newer run of the task.
+    refused_outdated,  ///< The VM had the same or a newer run of the task.
     refused_deadline,  ///< The order's deadline had passed when it arrived.
     refused_capacity,  ///< The VM lacks free capacity for the task.
     refused_ticket,    ///< The ticket is missing or no longer valid.
--- a/jobs/vm_record.hpp
+++ b/jobs/vm_record.hpp
@@ -74,8 +74,8 @@
 
   private:
     vms_by_incarnation m_stored;
-    std::vector<vms_by_incarnation>
-        m_unconfirmed; ///< Writes that may be, or become, the stored version; newest last.
+    /// Writes that may be, or become, the stored version; newest last.
+    std::vector<vms_by_incarnation> m_unconfirmed;
     std::int64_t m_revision = 0;
     bool m_writing = false;
 };
--- a/jobs/vm_state.hpp
+++ b/jobs/vm_state.hpp
@@ -57,7 +57,7 @@
     void remove_task(const task_id& task, const resources& need, bool long_running);
     [[nodiscard]] bool hosts_long_running() const noexcept { return m_long_running_count > 0; }
     [[nodiscard]] const std::multiset<task_id>& tasks() const noexcept { return m_tasks; }
-    /// Whether suspect tasks of jobs other than `job` run there.
+    /// Whether suspected tasks of jobs other than `job` run there.
     [[nodiscard]] bool has_other_suspects(const std::string& job) const {
         return !suspect_jobs.empty() && (suspect_jobs.size() > 1 || !suspect_jobs.contains(job));
     }
@@ -89,12 +89,12 @@
     bool listed = true;                 ///< The platform lists it.
     bool reachable = true;              ///< Its last order was answered.
     bool cordoned = false;              ///< No new runs: it is being emptied for maintenance or a move.
-    std::set<std::string> suspect_jobs; ///< Jobs whose suspect tasks run there, as of the last decision.
+    std::set<std::string> suspect_jobs; ///< Jobs whose suspected tasks run there, as of the last decision.
     std::string isolated_for_job;       ///< The only job whose tasks may start there; empty for any job.
     std::int64_t last_received_end = 0; ///< Run ends up to this number were received.
     std::int64_t last_stored_end = 0;   ///< Run ends up to this number are stored, so the VM may drop them.
-    std::optional<std::int64_t>
-        capacity_refused_at_clock; ///< Set on a capacity refusal until a newer report.
+    /// The VM's clock at its last refusal for lack of capacity; empty after a newer response.
+    std::optional<std::int64_t> capacity_refused_at_clock;
 
   private:
     vm_info m_info;
@@ -107,7 +107,7 @@
     std::vector<orphan_run> m_orphans;
     resources m_used;
     resources m_long_running_used;
-    int m_long_running_count = 0; ///< Number of long-running tasks.
+    int m_long_running_count = 0;
     int m_consecutive_failures = 0;
     timestamp m_quarantined_until{0};
 };
--- a/tests/jobs/cancelled_jobs_test.cpp
+++ b/tests/jobs/cancelled_jobs_test.cpp
@@ -131,9 +131,9 @@
 }
 
 TEST_CASE("a new owner stops runs of a job cancelled before the takeover and does not reuse their capacity") {
-    // Guards against a VM loaded over its capacity, and against runs that are never stopped: an owner is
-    // removed while runs of a cancelled job are being stopped, whose record is gone, so the new owner doesn't
-    // know what the runs use and starts others beside them.
+    // Guards against an overloaded VM and against runs that are never stopped. An owner is removed while it
+    // stops the runs of a cancelled job; the job's record is gone, so the new owner doesn't know what the
+    // runs use and starts others beside them. Runs whose stop was lost continue.
     scheduler_fixture b(1);
     b.pool().expect_vm(b.info("v1", 4));
     const task_id cancelled{"gone", 0, 0, 0};
--- a/tests/jobs/crash_simulation.hpp
+++ b/tests/jobs/crash_simulation.hpp
@@ -160,8 +160,8 @@
         timestamp crashes_at{0}; ///< 0: no crash is due.
         std::int64_t sequence = 0;
         bool crashed_by_faulty_task = false; ///< A faulty task caused its last crash.
-        std::vector<std::string>
-            unreported_ended_vms; ///< Incarnations whose end has not been reported to any owner.
+        /// Incarnations whose end has not been reported to any owner.
+        std::vector<std::string> unreported_ended_vms;
         timestamp lease_until{0};
     };
     struct late_order {
--- a/tests/jobs/faulty_tasks_test.cpp
+++ b/tests/jobs/faulty_tasks_test.cpp
@@ -11,7 +11,8 @@
 
 /// Maximum number of starts of a faulty task after three VMs have crashed under it.
 constexpr std::size_t max_starts_after_three_crashes = 2;
-/// Time from a crash until its VM's next incarnation confirms it, and the maximum delay of an isolated start.
+/// Time from a crash until its VM's next incarnation confirms it, plus the maximum delay of an isolated
+/// start.
 constexpr milliseconds max_restart_delay = 3500ms + 2500ms;
 constexpr milliseconds takeover_gap = 2200ms;
 
@@ -286,7 +287,7 @@
     std::size_t m_jobs = 0;
 };
 
-/// The seeds that the environment variable SISKINPADDLE_TEST_SEEDS names as FIRST-LAST, or a few.
+/// The seeds that the environment variable SISKINPADDLE_TEST_SEEDS names as FIRST-LAST, by default 1-40.
 std::vector<std::uint64_t> seeds_to_run() {
     std::uint64_t first = 1;
     std::uint64_t last = 40;
--- a/tests/jobs/order_test.cpp
+++ b/tests/jobs/order_test.cpp
@@ -98,8 +98,8 @@
                 }
                 replay.bench().pool().set_expected_vms(0, obtainable - std::min<std::size_t>(obtainable, 6));
             }
-            replay.advance(step < peak_ends_at ? 2 + step % 2
-                                               : 0); // 25 jobs of eight core-seconds per second.
+            // 25 jobs of eight core-seconds per second.
+            replay.advance(step < peak_ends_at ? 2 + step % 2 : 0);
         }
         return outcome{replay.results(), replay.refused()};
     };
@@ -166,7 +166,7 @@
         meter.update(0, 0, now);
         need[tenth] = static_cast<double>(meter.current_need()) / 1000;
     }
-    // The need two seconds ahead. Without extrapolation it would be 0.3 of that at 30 tenths.
+    // The need follows the rate two seconds ahead. By the current rate it would be 0.3 of that at 30 tenths.
     CHECK(need[30] >= 0.75 * 30 * rate_at(50));
     CHECK(need[30] <= 1.3 * 30 * rate_at(50));
     CHECK(need[9] <= 1.5 * 30 * rate_at(9)); // Constant before the peak,
--- a/tests/jobs/pace_test.cpp
+++ b/tests/jobs/pace_test.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/// One VM with a serving task and a task that uses leftover processor time.
+/// One VM with a serving task and a best-effort task.
 struct shared_vm_fixture {
     scheduler_fixture b;
     start_order serving;
@@ -25,7 +25,7 @@
         leftover = b.start_all().at(0);
     }
 
-    /// Reports the serving task's tail latency; returns the pace ordered for the leftover task, or -1 if
+    /// Reports the serving task's tail latency; returns the pace ordered for the best-effort task, or -1 if
     /// none.
     int report_tail(std::int64_t ms) {
         b.advance_clock(400ms);
@@ -40,7 +40,7 @@
 } // namespace
 
 TEST_CASE(
-    "leftover work is slowed before a serving task on its VM misses its target, and sped up gradually") {
+    "best-effort work is slowed before a serving task on its VM misses its target, and sped up gradually") {
     // Guards against a serving task that takes twice its target latency while a batch runs on the same VM.
     shared_vm_fixture n;
     CHECK(n.report_tail(20) == -1);
@@ -52,7 +52,7 @@
     CHECK(n.report_tail(20) == 40);
 }
 
-TEST_CASE("leftover work reserves no processor capacity of its VM") {
+TEST_CASE("best-effort work reserves no processor capacity of its VM") {
     shared_vm_fixture n;
     CHECK(n.b.pool().vms().at("v1").used().cpu_millicores == 1000);
 }
--- a/tests/jobs/scheduler_fixture.hpp
+++ b/tests/jobs/scheduler_fixture.hpp
@@ -108,7 +108,6 @@
 
     void advance_clock(milliseconds time) { m_now += time; }
 
-    /// Stores all changes.
     void store_changes() {
         const store_batch batch = m_scheduler.begin_store_batch();
         for (const std::string& id : batch.jobs) {
--- a/tests/jobs/scheduler_test.cpp
+++ b/tests/jobs/scheduler_test.cpp
@@ -120,9 +120,9 @@
 }
 
 TEST_CASE("an owner whose ownership is not confirmed ends no unresponsive VM") {
-    // Guards against a task that runs twice: a zone is cut off with the pool's owner inside, and a new owner
-    // outside renews the leases of the VMs outside. The previous owner no longer reaches these VMs, takes
-    // their leases for expired, and starts their tasks on VMs of its own zone.
+    // Guards against a task that runs twice: an availability zone is cut off with the pool's owner inside,
+    // and a new owner in another zone renews the leases of the VMs there. The previous owner no longer
+    // reaches these VMs, takes their leases for expired, and starts their tasks on VMs of its own zone.
     scheduler_fixture b;
     b.add_vm("v1");
     b.add_job("j", {scheduler_fixture::step(1)});
@@ -422,7 +422,7 @@
 
 TEST_CASE("a long-running task whose start got no answer is not stopped, since it may be running") {
     // Guards against an exceeded disruption budget: long-running tasks start again after the loss of a rack,
-    // the answers to two starts are lost, and the runs, which are available, are stopped for it.
+    // the answers to two starts are lost, and their runs are stopped although they are available.
     scheduler_fixture b;
     b.add_vm("v1");
     b.add_job("j", {long_running_step(1, 1)});
@@ -449,9 +449,9 @@
 }
 
 TEST_CASE("a VM on which several tasks end soon is polled frequently") {
-    // Guards against idle cores while jobs wait: an answer of a VM is lost, a poll that waits long for an end
-    // is abandoned only long after, and until then no end on that VM is known and its free capacity isn't
-    // used.
+    // Guards against jobs that wait four seconds while a third of the pool's cores are idle: with one answer
+    // in twenty lost, a poll that waits long for an end is abandoned only long after, and until then no end
+    // on that VM is known and its free capacity isn't used.
     struct polling_case {
         const char* name = "";
         std::uint32_t quotes = 0;
--- a/tests/jobs/start_window_test.cpp
+++ b/tests/jobs/start_window_test.cpp
@@ -68,9 +68,9 @@
 }
 
 TEST_CASE("stops are not repeated to an unresponsive VM") {
-    // Guards against repeated stops that use up the owner's link when a zone is cut off: with a dozen
-    // cancelled tasks per VM, a stop for each every 0.6 s fills the link. The stops can't arrive, and the
-    // VM's lease ends the runs.
+    // Guards against repeated stops that use up the owner's link when an availability zone is cut off: with a
+    // dozen cancelled tasks per VM, a stop for each every 0.6 s fills the link. The stops can't arrive, and
+    // the VM's lease ends the runs.
     scheduler_fixture b;
     b.add_vm("v1");
     b.add_job("j", {scheduler_fixture::step(4)});
--- a/tests/jobs/work_gauge_test.cpp
+++ b/tests/jobs/work_gauge_test.cpp
@@ -78,8 +78,8 @@
         }
         b.report("v1", {}, ended);
     }
-    for (int i = 0; i < 60;
-         ++i) { // For three seconds, twenty jobs per second of eight core-seconds each, as declared.
+    // For three seconds, twenty jobs per second of eight core-seconds each, as declared.
+    for (int i = 0; i < 60; ++i) {
         b.pool().record_job_arrival(
             scheduler_fixture::record("n" + std::to_string(i), {scheduler_fixture::step(8)}).spec, b.now());
         b.advance_clock(50ms);
@@ -105,9 +105,9 @@
     };
     int number = 0;
     std::map<std::string, std::int64_t> sequences;
-    for (const sweep_case& item : {sweep_case{"all fit", 4, 2, 100, 0}, sweep_case{"spread", 25, 2, 100, 13},
-                                   sweep_case{"spread, one per VM", 10, 1, 100, 10},
-                                   sweep_case{"limited by capacity", 24, 0, 16'384, 6}}) {
+    for (const sweep_case& item :
+         {sweep_case{"all fit", 4, 2, 100, 0}, sweep_case{"spread", 25, 2, 100, 13},
+          sweep_case{"spread, one per VM", 10, 1, 100, 10}, sweep_case{"room", 24, 0, 16'384, 6}}) {
         INFO(item.what);
         step_spec step = scheduler_fixture::step(item.tasks, 100, 0);
         step.long_running = true;
