--- a/node/fleet_moves.cpp
+++ b/node/fleet_moves.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-/// Moves may come in a burst of as many orders as the platform's rate allows in this time: a demand surge
-/// needs a dozen machines at once.
+/// Moves may come in a burst of as many orders as the platform's rate allows in this time: the start
+/// of a demand peak needs a dozen machines at once.
 constexpr double order_burst_s = 0.5;
-/// Demands older than this are ignored: in a surge the demand rises to several times a pool's capacity within
-/// a second.
+/// Demands older than this are ignored: at a demand peak the demand rises to several times a pool's capacity
+/// within a second.
 constexpr milliseconds max_demand_age = 1s;
 
 } // namespace
--- a/node/fleet_orders.cpp
+++ b/node/fleet_orders.cpp
@@ -31,8 +31,8 @@
     });
 }
 
-/// Writes the announcement under a separate lease, so that it expires after the quiet time even if this node
-/// has died.
+/// Writes the announcement under a separate lease, so that it expires after `min_order_interval` even if this
+/// node has died.
 void fleet_task::announce_orders(const std::vector<std::string>& machines, std::function<void(bool)> done) {
     if (event_loop::now() - m_announcement_granted_at < announcement_lease_reuse) {
         write_announcement(machines, done);
--- a/node/fleet_task.hpp
+++ b/node/fleet_task.hpp
@@ -105,7 +105,8 @@
         timestamp received_at{0};
     };
     std::map<std::string, latest_demand> m_latest_demands; ///< Last answers, from any round.
-    std::set<std::string> m_empty_vms;                     ///< Reported empty by their owners in this round.
+    /// VMs on which nothing runs and which their pools' owners keep empty, as answered in this round.
+    std::set<std::string> m_empty_vms;
     std::map<std::string, platform::machine_info> m_machines;
     bool m_has_new_clear_request = false; ///< A clear request is new: the next round can order its VM away.
 
@@ -121,17 +122,17 @@
     std::int64_t m_announcement_lease = 0;
     timestamp m_announcement_granted_at{0};
     std::uint64_t m_announcement_count = 0;
-    std::set<std::string>
-        m_recently_ordered; ///< Machines that another owner may have ordered within the quiet time.
+    /// Machines that another owner may have ordered within `min_order_interval`.
+    std::set<std::string> m_recently_ordered;
     bool m_recently_ordered_known = false; ///< The other owner's announcements were read.
 
     std::map<std::int64_t, wave> m_waves;
-    std::set<std::string>
-        m_vms_asked_to_clear;             ///< VMs that their owners were asked to empty in the last round.
-    jobs::evacuation_list m_vms_to_clear; ///< VMs that their owners are to keep empty.
+    /// VMs that their pools' owners were asked to empty in the last round.
+    std::set<std::string> m_vms_asked_to_clear;
+    jobs::evacuation_list m_vms_to_clear;        ///< VMs that their pools' owners are to keep empty.
     std::map<std::string, pending_move> m_moves; ///< By machine.
     jobs::balance_state m_balance_memory;
-    std::size_t m_surplus_machines = 0; ///< Machines that no pool wants, as of the last plan.
+    std::size_t m_surplus_machines = 0; ///< Number of machines that no pool wanted in the last plan.
     bool m_stopped = false;
     lifetime m_lifetime;
 };
--- a/node/ingress_task.hpp
+++ b/node/ingress_task.hpp
@@ -94,8 +94,8 @@
     local_handler m_local_handler;
     http_server m_server;
     timestamp m_peer_reached_store_at{0};
-    std::map<std::string, timestamp>
-        m_unresponsive_owners;                           ///< Incarnation -> until when it gets no requests.
+    /// Incarnation of an owner -> until when it gets no requests.
+    std::map<std::string, timestamp> m_unresponsive_owners;
     std::map<std::string, cached_count> m_counts;        ///< By queue.
     std::map<std::string, overload> m_overloads;         ///< By pool.
     std::map<std::uint64_t, inbox_write> m_inbox_writes; ///< Writes whose clients have no answer yet.
--- a/node/membership_task.cpp
+++ b/node/membership_task.cpp
@@ -13,7 +13,7 @@
 /// A dead node's duties have no owner for this long; runs on VMs outlive that time under their own leases of
 /// six seconds. The lease is renewed three times within its term, so that one renewal that is lost, detected
 /// after `renew_timeout` and repeated, has no effect. With a longer lease, a pool whose owner dies during a
-/// demand peak makes no decisions for longer, and no pool gets machines meanwhile.
+/// demand peak makes no decisions for longer, and no pool gets machines for longer if the fleet's owner dies.
 constexpr milliseconds lease_ttl = 2s;
 constexpr milliseconds renew_interval = 600ms;
 constexpr milliseconds retry_interval = 200ms;
--- a/node/node_settings.hpp
+++ b/node/node_settings.hpp
@@ -25,9 +25,9 @@
     endpoint machines;
     endpoint advice;          ///< Port 0: there is no policy service.
     milliseconds vm_lease{0}; ///< Longest lease that VMs grant.
-    milliseconds min_order_interval{
-        0};                       ///< Minimum time between orders to one machine by two different holders.
-    milliseconds grace_period{0}; ///< From SIGTERM to SIGKILL.
+    /// Minimum time between orders to one machine by two different owners of the fleet.
+    milliseconds min_order_interval{0};
+    milliseconds grace_period{0};               ///< From SIGTERM to SIGKILL.
     milliseconds ended_job_retention{0};        ///< How long the state of an ended job can be queried.
     milliseconds stop_time = default_stop_time; ///< Longest time that a VM takes to stop a run.
     /// Maximum age of the local copy of the VMs' registrations when tasks are started on VMs that don't check
--- a/node/peer_protocol.hpp
+++ b/node/peer_protocol.hpp
@@ -34,11 +34,11 @@
     std::string job;
     std::string queue;
     jobs::job_spec spec; ///< With `submit`.
-    std::vector<std::string>
-        vms_to_empty;               ///< With `demand_query`: all VMs to keep empty; others may get tasks.
-    std::uint64_t arriving_vms = 0; ///< With `demand_query`: VMs that are being moved to the pool.
-    std::uint64_t obtainable_machines =
-        0; ///< With `demand_query`: machines that no pool requested last round.
+    /// With `demand_query`: all VMs to keep empty; others may get tasks.
+    std::vector<std::string> vms_to_empty;
+    std::uint64_t arriving_vms = 0; ///< With `demand_query`: number of VMs being moved to the pool.
+    /// With `demand_query`: number of machines that no pool wanted in the last round.
+    std::uint64_t obtainable_machines = 0;
     std::int64_t configuration_version = 0; ///< Configuration version in force at the sender.
 
     template <typename Archive>
@@ -52,8 +52,8 @@
     std::uint8_t outcome = static_cast<std::uint8_t>(peer_outcome::unknown);
     std::uint8_t phase = 0;
     std::uint64_t count = 0;
-    std::int64_t inbox_age_ms =
-        0; ///< With `count` and `overloaded`: maximum age of the owner's copy of the inbox.
+    /// With `count` and `overloaded`: upper limit of the age of the owner's copy of the inbox.
+    std::int64_t inbox_age_ms = 0;
     std::int64_t retry_after_ms = 0;
     jobs::pool_demand demand;               ///< With `demand_query`.
     std::int64_t configuration_version = 0; ///< Configuration version in force at the responding node.
--- a/node/pool_renewals.cpp
+++ b/node/pool_renewals.cpp
@@ -14,7 +14,7 @@
 constexpr milliseconds frequent_renewal_wait = 400ms;
 constexpr milliseconds renewal_retry = 150ms;
 constexpr milliseconds max_renewal_retry = 600ms;
-/// While the owner must not act.
+/// Delay until a renewal is tried again while the owner must not act.
 constexpr milliseconds paused_retry = 250ms;
 
 } // namespace
--- a/node/pool_storing.cpp
+++ b/node/pool_storing.cpp
@@ -19,8 +19,8 @@
 constexpr std::size_t ended_entries = progress_entries + 1;
 /// How long an ended job stays in the scheduler, for late reports on its runs.
 constexpr milliseconds scheduler_retention = 3s;
-/// Delay before cancellations in the inbox that found no job are retried; a cancellation must take effect
-/// within three seconds.
+/// Delay before cancellations in the inbox that could not be carried out are retried; a cancellation must
+/// take effect within three seconds.
 constexpr milliseconds inbox_retry = 300ms;
 /// Interval between removals of ended jobs.
 constexpr milliseconds cleanup_interval = 2s;
--- a/node/pool_submits.cpp
+++ b/node/pool_submits.cpp
@@ -210,8 +210,8 @@
 }
 
 /// Handles the loss of the ownership: jobs that are confirmed as not stored are refused. A job that may be
-/// stored would be lost if this node makes the next claim, which reads nothing from the store: such a job is
-/// kept, and written again under the new claim.
+/// stored is kept, and written again if this node claims the pool again: the task then continues without
+/// reading the stored jobs, so a job that it had dropped would be lost.
 void pool_task::keep_unconfirmed_submits(std::vector<waiting_submit> batch, bool unanswered) {
     for (waiting_submit& item : batch) {
         const std::string& id = item.record.spec.id;
--- a/node/pool_task.cpp
+++ b/node/pool_task.cpp
@@ -13,7 +13,7 @@
 constexpr milliseconds load_interval = 1s;
 /// Most runs that a log line lists.
 constexpr std::size_t max_runs_per_line = 12;
-/// Interval at which a watch is restarted; a connection that went silent is detected within this time.
+/// Interval at which a watch is restarted; an unresponsive connection is detected within it.
 constexpr milliseconds inbox_watch_interval = 1200ms;
 
 /// Upper limit of a VM's lease. Long enough that runs outlive a change of their owner (a lease of two
--- a/node/pool_task.hpp
+++ b/node/pool_task.hpp
@@ -74,7 +74,7 @@
     /// A job that an entry accepted and stored in the inbox.
     struct inbox_job {
         jobs::job_record record;
-        std::string key; ///< Key of the inbox entry.
+        std::string key; ///< Key of the item in the inbox.
         std::int64_t revision = 0;
         bool writing = false; ///< A transaction that transfers the job is in flight.
     };
@@ -178,18 +178,18 @@
     ownership m_ownership;
     jobs::scheduler m_scheduler;
     vm_directory m_directory;
-    watch_task m_inbox_cancels; ///< Separate from the submits: behind a full inbox, cancellations would be
-                                ///< read seconds late.
-    watch_task m_inbox;         ///< Submits.
-    bool m_vms_check_capacity = true; ///< Otherwise they start every run that is ordered.
+    /// Cancellations. Separate from the submits: behind a full inbox they would be read seconds late.
+    watch_task m_inbox_cancels;
+    watch_task m_inbox;               ///< Submits.
+    bool m_vms_check_capacity = true; ///< If false, VMs start every run that is ordered.
     bool m_ready = false;
     bool m_ownership_lost = false;
     bool m_shutting_down = false;
     std::function<void()> m_on_shut_down;
 
     std::map<std::string, jobs::job_progress> m_loaded_progress;
-    std::map<std::string, std::int64_t>
-        m_progress_revisions; ///< Of the stored progress of the scheduler's jobs; no entry if none is stored.
+    /// Job -> revision of its stored progress, for the scheduler's jobs; absent if no progress is stored.
+    std::map<std::string, std::int64_t> m_progress_revisions;
     std::map<std::string, jobs::job_phase> m_ended; ///< Jobs that ended and are no longer in the scheduler.
     std::map<std::string, timestamp> m_ended_at;
     jobs::vm_record m_vm_record; ///< VMs that may hold runs, as stored.
@@ -201,16 +201,17 @@
     bool m_decision_scheduled = false;
     bool m_was_acting = true; ///< Whether the owner could act, as last logged.
 
-    std::vector<waiting_submit> m_submits;      ///< Waiting for the write in flight to finish.
+    std::vector<waiting_submit> m_submits;      ///< Waiting for the write in flight or for its retry.
     std::vector<waiting_submit> m_sent_submits; ///< Part of the write in flight.
     std::set<std::string> m_submitting;         ///< Jobs whose record is not confirmed as stored.
     bool m_writing_submits = false;
-    std::map<std::string, std::string>
-        m_unconfirmed_submits; ///< Jobs written at least once without an answer, with their queues.
+    /// Job -> its queue, for jobs whose record was written at least once without an answer.
+    std::map<std::string, std::string> m_unconfirmed_submits;
     std::multimap<std::string, reply> m_repeated_submits; ///< Repeats of submits that are in progress.
     std::unique_ptr<timer> m_submit_timer;
     std::vector<waiting_cancel> m_cancels;
-    std::vector<platform::store_item> m_unresolved_inbox_cancels; ///< Cancellations that found no job yet.
+    /// Cancellations that found no job yet, or were read while the ownership was lost.
+    std::vector<platform::store_item> m_unresolved_inbox_cancels;
     std::map<std::string, inbox_job> m_inbox_jobs; ///< Jobs in the inbox that are not transferred yet.
     std::unique_ptr<timer> m_inbox_timer;
     std::size_t m_inbox_writes_in_flight = 0; ///< Transactions in flight that transfer jobs from the inbox.
--- a/node/siskinpaddle_node.cpp
+++ b/node/siskinpaddle_node.cpp
@@ -44,8 +44,7 @@
     try {
         TCLAP::CmdLine line(
             "siskinpaddle node process: accepts clients' jobs, and manages pools and the fleet while it "
-            "holds their duties. Exit codes: 0 good, 1 "
-            "failed, 2 bad settings.",
+            "holds their duties. Exit codes: 0 good, 1 failed, 2 bad settings.",
             ' ', SISKINPADDLE_VERSION);
         TCLAP::ValueArg<std::string> file("s", "settings", "Settings file (JSON).", true, "", "FILE", line);
         TCLAP::ValueArg<std::string> level("l", "log-level", "debug, info, warning or error.", false, "info",
--- a/tests/node/busy_loop_test.cpp
+++ b/tests/node/busy_loop_test.cpp
@@ -61,9 +61,9 @@
 } // namespace
 
 TEST_CASE("a store that answers at once does not count as failing at a busy node") {
-    // Guards against submits that are refused with 503 or left in the inbox although the store answers within
-    // milliseconds: with loop iterations of 200 ms a call takes three of them, over half a second, and its
-    // unread answer must not count as a failure of the store.
+    // Guards against submits that are refused with 503 or stored in the inbox although the store answers
+    // within milliseconds: with loop iterations of 200 ms a call takes three of them, over half a second, and
+    // its unread answer must not count as a failure of the store.
     for (const milliseconds iteration_time : {100ms, 150ms, 200ms, 240ms}) {
         separate_store store;
         event_loop loop;
--- a/tests/node/count_test.cpp
+++ b/tests/node/count_test.cpp
@@ -55,8 +55,8 @@
 }
 
 TEST_CASE("a queue's count is not reported while the owner's copy of the inbox may be old") {
-    // Guards against a count that stays low while more jobs wait: the owner's watch of the inbox uses a
-    // connection that went silent, so the owner does not see the jobs that entries store there.
+    // Guards against a count that stays low while more jobs wait: the owner's watch of the inbox uses an
+    // unresponsive connection, so the owner does not read the jobs that entries store there.
     node_deployment d;
     d.start_node("n1");
     d.wait_until_serving("n1");
@@ -76,8 +76,8 @@
     d.start_node("n1");
     d.wait_until_serving("n1");
     d.store.set_silent(true);
-    wait_for(d,
-             max_count_age + 1500ms); // The two-second lease has expired, the four seconds after it have not.
+    // The lease of two seconds has expired, the four seconds after it have not.
+    wait_for(d, max_count_age + 1500ms);
     CHECK(d.call("n1", "GET", "/quotes/").code == 503);
 }
 
@@ -127,7 +127,7 @@
 TEST_CASE("a repeat of a job that its owner has not read from the inbox is not refused for load") {
     // Guards against answering 429 for a job that then runs: its first attempt is in the inbox and the answer
     // was lost; the repeat reaches an owner whose copy of the inbox is seconds old, because the owner is busy
-    // or its connection went silent, and which treats the job as new.
+    // or its connection is unresponsive, and which treats the job as new.
     node_deployment d;
     d.start_node("n1"); // Without a VM, jobs wait and more are soon refused.
     d.wait_until_serving("n1");
--- a/tests/node/fleet_test.cpp
+++ b/tests/node/fleet_test.cpp
@@ -47,7 +47,7 @@
     return platform::encode_configuration(result);
 }
 
-/// The demand that a pool's owner reports during a surge: far more than its two VMs can hold.
+/// The demand that a pool's owner reports at a demand peak: far more than its two VMs can hold.
 node::peer_answer surge_demand() {
     node::peer_answer answer = node::make_answer(node::peer_outcome::ok);
     answer.demand.need_millicores = 64'000;
--- a/tests/node/inbox_test.cpp
+++ b/tests/node/inbox_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-const std::string job_id = "a000000000000000"; ///< The job that leave_in_inbox("a", 1) stores.
+const std::string job_id = "a000000000000000"; ///< The job that store_in_inbox("a", 1) stores.
 const std::string first_id = "b000000000000000";
 constexpr milliseconds wait_timeout = 15s;
 
--- a/tests/node/late_write_test.cpp
+++ b/tests/node/late_write_test.cpp
@@ -45,7 +45,7 @@
 TEST_CASE("a submit's write that is executed late does not restore the job") {
     // Guards against a job that runs again hours later: the first write of its record is not answered and is
     // repeated, the job ends, and the first write is executed late, since its only condition, the owner's
-    // claim, still holds. The next owner takes the record for a job that has not begun.
+    // claim, still holds. The record outlasts the job's progress, so a later owner runs the job again.
     node_deployment d;
     run_warm_up_job(d);
     d.store.delay_writes(1);
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -147,8 +147,8 @@
 
 TEST_CASE("a job that was submitted and cancelled while no owner could be reached never starts") {
     // Guards against a cancelled job that starts four seconds after its cancellation was confirmed: the owner
-    // reads both requests from the inbox together, finds no job to cancel yet, then accepts the job and
-    // starts it.
+    // reads both requests from the inbox together, finds no job to cancel yet, then transfers the job
+    // and starts it.
     node_deployment d;
     d.add_vm("v1", 60'000ms);
     const jobs::job_record record = one_task_record(job_a);
@@ -163,8 +163,8 @@
 
 TEST_CASE("a job that an entry stores in the inbox while the pool's owner claims again is not forgotten") {
     // Guards against an accepted job that stays queued: the owner's lease expires and it claims the pool
-    // again; before the claim's answer arrives the owner accepts the job from the inbox under its old token,
-    // is refused, and must retry.
+    // again; before the claim's answer arrives the owner tries to transfer the job from the inbox under its
+    // old token, is refused, and must retry.
     node_deployment d;
     d.serve_with_one_vm(100ms);
     const jobs::job_record record = one_task_record(job_a);
@@ -184,10 +184,10 @@
     CHECK(d.until([&] { return d.store.count("sp/inbox/") == 0; }));
 }
 
-TEST_CASE("a write for an inbox job that is carried out late does not restore the job") {
+TEST_CASE("a write for an inbox job that is executed late does not restore the job") {
     // Guards against a job's record that reappears after the job ended, so that a later owner runs the job
-    // again: the first write that accepts the job from the inbox gets no answer and is repeated, and the
-    // store carries out the first one after the job has ended.
+    // again: the first write that transfers the job from the inbox gets no answer and is repeated, and the
+    // store executes the first one after the job has ended.
     node_deployment d;
     d.serve_with_one_vm(100ms);
     const jobs::job_record record = one_task_record(job_a);
@@ -195,7 +195,7 @@
     const std::string inbox = "sp/inbox/p/submit/" + job_a;
     d.store.put(inbox, encode_archive(record));
     REQUIRE(d.until([&] { return d.store.pending_late_writes() == 1; }));
-    CHECK(d.store.contains(inbox)); // The late write is the one that accepts the job.
+    CHECK(d.store.contains(inbox)); // The late write is the one that transfers the job.
     CHECK(d.reaches_phase("n1", job_a, "completed"));
     REQUIRE(d.until([&] { return d.store.pending_late_writes() == 0; }));
     CHECK(d.until([&] { return d.store.count("sp/job/p/") == 0; }));
--- a/tests/node/overload_test.cpp
+++ b/tests/node/overload_test.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("an entry leaves no jobs in the inbox of a pool that has just refused jobs") {
+TEST_CASE("an entry stores no jobs in the inbox of a pool that has just refused jobs") {
     // Guards against accepted jobs that are never done: an overloaded owner answers late, and for a second
     // after each late answer its entries store all jobs in its inbox without admission control: up to 70 jobs
     // a second, in a pool that held 440 with three VMs.
