--- a/control/entry_settings.hpp
+++ b/control/entry_settings.hpp
@@ -17,7 +17,9 @@
     endpoint operators;
     endpoint peers;
     endpoint platform;
-    std::vector<endpoint> seed_peers; ///< Peers to pull values from when the store can't be read at start.
+    /// Peers to pull values from, besides the registered entries, when the store doesn't answer. At start no
+    /// registered entry is known.
+    std::vector<endpoint> seed_peers;
     std::string peer_key;
     std::int64_t max_requests = 2048;
     std::int64_t max_body_bytes = 1 << 20;
--- a/control/health_task.hpp
+++ b/control/health_task.hpp
@@ -32,8 +32,8 @@
     state_task& m_state;
     std::function<void(const std::string&, bool)> m_on_result;
     http_client m_client;
-    std::map<std::string, std::uint64_t> m_passed_revisions; ///< By VM that has passed its check: fleet
-                                                             ///< revision at which it entered `returning`.
+    /// By VM that has passed its check: fleet revision at which it entered `returning`.
+    std::map<std::string, std::uint64_t> m_passed_revisions;
     std::set<std::string> m_own_suspects;
     std::set<std::string> m_checks_in_flight;
     std::map<std::string, timestamp> m_last_checks;
--- a/gateway/operator_gateway.cpp
+++ b/gateway/operator_gateway.cpp
@@ -391,10 +391,11 @@
         request, pool,
         [job](job_table& table, std::string& refusal) {
             if (const job_record* known = table.find(job.id)) {
+                // An equal job is a repeated submission after a lost answer and is already stored.
                 const bool same =
                     known->team == job.team && known->kind == job.kind && known->size == job.size;
                 refusal = same ? "" : "another job has this id";
-                return false; // A repeated submission after a lost answer; the job is already stored.
+                return false;
             }
             if (table.jobs.size() >= max_jobs_per_pool) {
                 refusal = "the pool has reached its maximum number of jobs";
--- a/gateway/operator_gateway.hpp
+++ b/gateway/operator_gateway.hpp
@@ -9,8 +9,8 @@
 namespace siskinpaddle {
 
 /// Serves operators' requests: configuration patches, queries and jobs. Every request except /metrics and
-/// /health must carry the credential of a member. Only an admin can change another member's pools, or
-/// read, submit or cancel jobs there. Not thread-safe.
+/// /health must carry the credential of a member. Only an admin can change what another member owns, or
+/// read, submit or cancel jobs in another member's pools. Not thread-safe.
 class operator_gateway {
   public:
     operator_gateway(event_loop& loop, const entry_settings& settings, platform_client& platform,
--- a/main/entry.hpp
+++ b/main/entry.hpp
@@ -24,8 +24,9 @@
     /// waited for. Further calls have no effect.
     void drain(std::function<void()> on_stopped);
 
-    /// Drops all traffic with peers while `partitioned` is true, to simulate a network partition in tests and
-    /// drills.
+    /// Simulates a network partition in tests and drills while `partitioned` is true: this entry neither
+    /// sends nor accepts heartbeats and answers no requests from peers. Its own pulls and probes are not
+    /// affected.
     void set_partitioned(bool partitioned) { m_state.set_partitioned(partitioned); }
 
   private:
--- a/peer/peer_task.hpp
+++ b/peer/peer_task.hpp
@@ -60,8 +60,8 @@
     bool m_is_partitioned = false;
     handlers m_handlers;
     peer_usage m_usage;
-    std::map<std::string, std::pair<std::uint64_t, std::uint64_t>>
-        m_latest_heartbeats; ///< Incarnation and sequence by id.
+    /// Incarnation and sequence by entry id.
+    std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> m_latest_heartbeats;
     udp_socket m_udp;
     frame_server m_server;
     frame_client m_client;
--- a/policy/claims.hpp
+++ b/policy/claims.hpp
@@ -73,7 +73,7 @@
     /// Replaces the open log by the stored one. `version` is its store version.
     void set_open(const claim_log& log, std::uint64_t version);
 
-    /// Adds the lines of a closed generation, read from the store at `now`.
+    /// Adds the lines of a closed generation, read from or written to the store at `now`.
     void add_closed(std::uint64_t generation, std::vector<claim_entry> lines, timestamp now);
 
     /// Returns true and sets `generation` to the newest closed generation that this copy lacks, if any. The
--- a/policy/fleet.hpp
+++ b/policy/fleet.hpp
@@ -64,7 +64,7 @@
     std::uint32_t epoch = 0; ///< Increases when the VM changes pool, is lost or restarts unexpectedly.
     std::uint64_t completed_wave = 0; ///< Order of the last wave that it has completed.
     std::uint64_t active_wave = 0;    ///< Order of the wave that it is being maintained for; 0 for none.
-    std::uint64_t boot_count = 0;     ///< Boot count that was last seen, or when its last reboot was ordered.
+    std::uint64_t boot_count = 0;     ///< Last recorded boot count; in maintenance, that before the reboot.
     std::uint64_t state_revision = 0; ///< Fleet revision at which it entered `state`.
 
     bool operator==(const vm_record&) const = default;
--- a/policy/patch.cpp
+++ b/policy/patch.cpp
@@ -189,7 +189,8 @@
     if (owner_before.empty() && owner_after.empty()) {
         return false;
     }
-    // A new pool or a changed size claims VMs that other members pay for, so only an admin may grant them.
+    // A new pool, or a change of `promised`, `size` or `member`, claims VMs that other members pay for, so
+    // only an admin may grant it.
     const bool grants_capacity = tokens[0] == "pools" && (tokens.size() < 3 || tokens[2] == "promised" ||
                                                           tokens[2] == "size" || tokens[2] == "member");
     const bool own_before = owner_before.empty() || owner_before == member;
--- a/policy/pause_detector.hpp
+++ b/policy/pause_detector.hpp
@@ -6,9 +6,10 @@
 
 /// Whether an entry may route requests after a check for pauses.
 enum class pause_verdict : std::uint8_t {
-    none,             ///< No pause: the entry may route requests.
-    refresh_required, ///< After a pause: refuse requests until the entry's registration is confirmed to be in
-                      ///< force.
+    /// No pause: the entry may route requests.
+    none,
+    /// After a pause: refuse requests until the entry's registration is confirmed to be in force.
+    refresh_required,
 };
 
 /// Detects that the process was paused: stopped by a signal, on a suspended VM or starved of processor time.
--- a/policy/placement.hpp
+++ b/policy/placement.hpp
@@ -33,8 +33,8 @@
         int reports = 0;
     };
     std::map<std::string, estimate> m_kinds;
-    std::map<std::string, std::set<std::string>>
-        m_counted_jobs; ///< Done jobs of each pool whose usage has been counted.
+    /// Done jobs of each pool whose usage has been counted.
+    std::map<std::string, std::set<std::string>> m_counted_jobs;
 };
 
 /// Health of a VM's worker, derived from job results.
@@ -64,8 +64,8 @@
     bool first_fit = false;              ///< Use the first VM with enough free capacity.
     bool stop_all_on_leaving_vm = false; ///< Stop every job on a leaving VM, not only patient ones.
     bool wait_for_last_vm = false;       ///< A patient job waits for its last VM to return instead of moving.
-    bool avoid_pending_wave =
-        true; ///< Use a VM that a running wave has yet to maintain only when no other has enough capacity.
+    /// Use a VM that a running wave has yet to maintain only when no other has enough capacity.
+    bool avoid_pending_wave = true;
 };
 
 /// Derives the options from an operator's weights.
--- a/policy/target_table.hpp
+++ b/policy/target_table.hpp
@@ -84,10 +84,10 @@
 
     /// Adjustments to the use of single targets that follow from the state of the whole pool.
     struct pool_view {
-        bool ignore_quarantine =
-            false; ///< More than half are quarantined, so the others would be overloaded.
-        bool ignore_ramp =
-            false; ///< More than half have just returned, so the others can't carry the load during the ramp.
+        /// More than half are quarantined, so the others would be overloaded.
+        bool ignore_quarantine = false;
+        /// More than half have just returned, so the others can't carry the load during the ramp.
+        bool ignore_ramp = false;
     };
 
     [[nodiscard]] pool_view compute_pool_view(const std::vector<std::string>& ids, timestamp now) const;
--- a/tests/main/entry_test.cpp
+++ b/tests/main/entry_test.cpp
@@ -145,8 +145,8 @@
     CHECK(field(keyed, "code") == "claims-unavailable");
     CHECK(keyed.headers.get("Retry-After") == "5");
     CHECK(d.send_and_wait(d.settings("e1").callers, "GET", "/k/fare").code == 200);
-    CHECK(d.send_and_wait(d.settings("e1").callers, "POST", "/h/seat").code ==
-          200); // No key, so no claim is written.
+    // Without a key, no claim is written.
+    CHECK(d.send_and_wait(d.settings("e1").callers, "POST", "/h/seat").code == 200);
     d.platform.set_fault("", fakes::injected_fault::none);
     // The outcome not-run was correct, so the same key can run once a claim that may have been stored is
     // released.
@@ -167,8 +167,8 @@
         };
     }
     d.platform.set_fault("e1", fakes::injected_fault::lose_answer, 0ms, 1);
-    // The planner writes under the name of its entry as well. The fault has to hit the claim's own write, so
-    // the planner has to be idle on e2.
+    // The fault applies to the next write of e1, which has to be that of the claim. A planner on e1 writes
+    // under the same name, so it must have nothing to write here.
     const http_answer answer = d.send_and_wait(d.settings("e1").callers, "POST", "/h/seat", "",
                                                {{"Idempotency-Key", "k2"}, {"Deadline-Ms", "30000"}});
     CHECK(answer.code == 200);
--- a/tests/main/recovery_test.cpp
+++ b/tests/main/recovery_test.cpp
@@ -55,6 +55,7 @@
 }
 
 TEST_CASE("a killed entry is detected by its refused port and removed from the fleet record") {
+    // Waves wait for every registered entry, so an ended entry that stays registered would block them.
     deployment d;
     d.start_default();
     d.kill_entry("e2");
--- a/tests/policy/claims_test.cpp
+++ b/tests/policy/claims_test.cpp
@@ -62,8 +62,8 @@
     second.set_open(stored, 8);
     CHECK(second.check_claim(key_one, 2) == claim_state::held_by_other);
     first.set_open(stored, 8);
-    CHECK(first.check_claim(key_one, 1) ==
-          claim_state::held_by_attempt); // Holds also when the store's reply was lost.
+    // An entry that has lost the store's reply finds its own claim in the same way.
+    CHECK(first.check_claim(key_one, 1) == claim_state::held_by_attempt);
 }
 
 TEST_CASE("no line is lost when a new generation begins") {
--- a/tests/policy/routing_test.cpp
+++ b/tests/policy/routing_test.cpp
@@ -116,7 +116,8 @@
     r.targets.on_sent("w1");
     r.targets.on_sent("w1");
     r.targets.on_finished("w1", attempt_result::refused_by_target, r.b.now);
-    CHECK(limit() == before - 7); // Other entries use its slots; the limit drops to 1, as in flight.
+    // The refusal shows that other entries use the slots, so the limit drops to the one request in flight.
+    CHECK(limit() == before - 7);
     for (int i = 0; i < 4; ++i) {
         r.targets.on_finished("w1", attempt_result::answered, r.b.now);
         r.targets.on_sent("w1");
