--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -18,8 +18,8 @@
 constexpr milliseconds decision_interval = 250ms; ///< Interval between two steps of the real planner.
 constexpr int max_rounds = 6;
 constexpr milliseconds transition_check_interval = 30s;
-constexpr milliseconds idle_check_interval =
-    5min; ///< The real planner runs four times a second; without VMs in transition a step changes nothing.
+/// The real planner runs four times a second; without VMs in transition a step changes nothing.
+constexpr milliseconds idle_check_interval = 5min;
 
 std::string make_numbered_id(const char* prefix, int number) {
     std::string digits = std::to_string(10'000 + number);
@@ -170,8 +170,8 @@
     for (auto& [pool, table] : m_jobs) {
         for (job_record& job : table.jobs) {
             if (job.vm == vm && may_be_running(job.state)) {
-                m_simulated_jobs[pool][job.id].running_since =
-                    timestamp{0}; // Work since the last checkpoint is lost.
+                // Work since the last checkpoint is lost.
+                m_simulated_jobs[pool][job.id].running_since = timestamp{0};
             }
         }
     }
--- a/bench/fleet_model_jobs.cpp
+++ b/bench/fleet_model_jobs.cpp
@@ -104,8 +104,8 @@
         }
         const vm_record* vm = m_fleet.find_vm(job.vm);
         if (vm == nullptr || vm->epoch > job.vm_epoch) {
-            ended_epochs[job.vm] =
-                vm == nullptr ? UINT32_MAX : vm->epoch; // Leases expire at once in this model.
+            // Leases expire at once in this model.
+            ended_epochs[job.vm] = vm == nullptr ? UINT32_MAX : vm->epoch;
         }
         has_work = has_work || vm == nullptr || vm->state != vm_state::serving;
     }
--- a/core/findings.hpp
+++ b/core/findings.hpp
@@ -25,7 +25,7 @@
     [[nodiscard]] bool empty() const noexcept { return m_items.empty(); }
     [[nodiscard]] const std::vector<finding>& items() const noexcept { return m_items; }
 
-    /// One line per finding, "place: message".
+    /// One line per finding, "location: message".
     [[nodiscard]] std::string to_string() const;
 
   private:
--- a/demo/session.cpp
+++ b/demo/session.cpp
@@ -104,7 +104,7 @@
     void run_current_step() {
         if (event_loop::now() - m_started > session_timeout) {
             print_progress(std::string("FAILED: step '") + steps()[m_step_index].name +
-                           "' is not over in time");
+                           "' did not end in time");
             m_timed_out = true;
             finish();
             return;
@@ -114,7 +114,7 @@
             m_step_started_at = event_loop::now();
             (this->*steps()[m_step_index].begin)();
         } else if ((this->*steps()[m_step_index].is_over)()) {
-            print_progress(std::string("step '") + steps()[m_step_index].name + "' over after " +
+            print_progress(std::string("step '") + steps()[m_step_index].name + "' ended after " +
                            std::to_string((event_loop::now() - m_step_started_at).count()) + " ms");
             m_is_step_started = false;
             if (++m_step_index == steps().size()) {
@@ -260,7 +260,7 @@
     /// Pauses an entry with SIGSTOP. The paused process keeps its ports, so the fleet must not remove the
     /// entry; the entry serves again after SIGCONT.
     void pause_entry() {
-        print_progress("freeze entry 0 for 5 s");
+        print_progress("pause entry 0 for 5 s");
         m_expected_entries = m_ledger.fleet().entries.size();
         kill(m_settings.entry_pids.front(), SIGSTOP);
     }
--- a/soak/fault_plan.cpp
+++ b/soak/fault_plan.cpp
@@ -9,10 +9,11 @@
 
 /// Maximum time between two starts of random faults. Most faults last longer, so that faults overlap.
 constexpr std::int64_t max_gap_ms = 1500;
-/// At one start time in so many, several faults start together.
+/// One in so many start times has several faults that start together.
 constexpr std::uint32_t burst_one_in = 3;
 constexpr std::uint32_t max_faults_in_burst = 3;
-/// From less than a retry delay to more than the store's leases plus the time that an owner acts beyond them.
+/// Durations of random faults: from less than a retry delay to more than the store's leases plus the time
+/// that an owner acts beyond them.
 constexpr std::int64_t min_fault_ms = 200;
 constexpr std::int64_t max_fault_ms = 8000;
 
--- a/soak/invariant_checks.cpp
+++ b/soak/invariant_checks.cpp
@@ -50,11 +50,11 @@
 void check_run_allowed(const job_history& job, const vm_run& item, const check_bounds& bounds,
                        std::vector<std::string>& violations) {
     if (!job.may_run && !job.submit_in_flight) {
-        violations.push_back("refused, and yet run: " + text_of(item));
+        violations.push_back("run of a refused job: " + text_of(item));
     }
     if (job.cancelled != timestamp(0) &&
         item.run.started_at > job.cancelled + bounds.max_start_after_cancel) {
-        violations.push_back("started after its cancelling: " + text_of(item));
+        violations.push_back("started after the cancellation of its job: " + text_of(item));
     }
 }
 
@@ -140,7 +140,7 @@
 
 std::string text_of(const reported_count& reported, const waiting_range& waited) {
     return "n" + std::to_string(reported.node + 1) + " [asked " + std::to_string(reported.sent.count()) +
-           " answered " + std::to_string(reported.answered.count()) + "] told " +
+           " answered " + std::to_string(reported.answered.count()) + "] reported " +
            std::to_string(reported.jobs) + " waiting jobs, " + std::to_string(waited.least) + " to " +
            std::to_string(waited.most) + " waited";
 }
@@ -163,7 +163,7 @@
         }
         const auto job = jobs.find(id);
         if (job == jobs.end()) {
-            violations.push_back("nobody asked for it: " + text_of(item));
+            violations.push_back("run of an unknown job: " + text_of(item));
         } else {
             check_run_allowed(job->second, item, bounds, violations);
         }
@@ -304,7 +304,8 @@
     }
     for (std::uint32_t node = 0; node < nodes; ++node) {
         if (!reporting_nodes.contains(node)) {
-            violations.push_back("tells no count after all has settled: n" + std::to_string(node + 1));
+            violations.push_back("no count reported after the end of all faults: n" +
+                                 std::to_string(node + 1));
         }
     }
     return violations;
--- a/soak/invariant_checks.hpp
+++ b/soak/invariant_checks.hpp
@@ -52,7 +52,8 @@
     std::int64_t newest_seen = 0;      ///< Newest version observed on this process when the query was sent.
     std::int64_t newest_published = 0; ///< Newest published version when the answer arrived.
     bool is_present = false;           ///< The queue exists.
-    bool is_missing = false; ///< The queue doesn't exist. Neither flag is set if the answer is inconclusive.
+    /// The queue doesn't exist. Neither flag is set if the answer is inconclusive.
+    bool is_missing = false;
 };
 
 /// Bounds that the checks allow for.
@@ -102,10 +103,11 @@
                                                               const std::vector<vm_run>& runs);
 
 /// Returns, for each count, how many jobs waited according to the records of clients and VMs. `least` counts
-/// jobs that were accepted earlier than `bounds` allow for before the request was sent, had no task started
-/// when the answer arrived, and have no cancellation sent. `most` counts jobs that were submitted before the
-/// answer arrived and waited at some time after the request was sent minus the allowed age of a count; jobs
-/// whose submit has an unknown outcome count only if a task started after that time. Pure; thread-safe.
+/// jobs that were accepted more than `max_count_age` plus `visible_within` before the request was sent, had
+/// no task started when the answer arrived, and have no cancellation sent. `most` counts jobs that were
+/// submitted before the answer arrived and waited at some time after the request was sent minus
+/// `max_count_age`; jobs whose submit has an unknown outcome count only if a task started after that time.
+/// Pure; thread-safe.
 [[nodiscard]] std::vector<waiting_range> waiting_ranges(const std::map<std::string, job_history>& jobs,
                                                         const std::vector<vm_run>& runs,
                                                         std::span<const reported_count> reported,
--- a/soak/load_generator.cpp
+++ b/soak/load_generator.cpp
@@ -33,7 +33,8 @@
 /// One job in so many has a task that crashes each VM on which it starts.
 constexpr std::uint64_t faulty_one_in = 60;
 constexpr std::uint64_t faulty_seed = 0xfa;
-/// Longer than an owner's lease, so that most long-running jobs live through a takeover of their pool.
+/// Longer than an owner's lease, so that a takeover of the pool occurs while most long-running jobs are
+/// running.
 constexpr milliseconds long_running_duration = 4s;
 /// Time after a job's acceptance within which each node that answers for the job's pool must know the job.
 constexpr milliseconds visible_within = 3s;
@@ -194,7 +195,8 @@
     });
 }
 
-/// Cancels long-running jobs that have run long enough, and retries until the cancellation is confirmed.
+/// Cancels long-running jobs that have run long enough, or all of them once no more jobs are submitted.
+/// Retries until the cancellation is confirmed.
 void load_generator::cancel_long_running() {
     for (const auto& [id, job] : m_jobs) {
         const bool has_run_long_enough =
@@ -220,13 +222,14 @@
         return;
     }
     if (answer.code == job_unknown && event_loop::now() - job.accepted > visible_within + client_deadline) {
-        m_problems.push_back("accepted and not known: " + id);
+        m_problems.push_back("accepted job is unknown to a node: " + id);
     }
     job.completed = job.completed || answer.body.find("\"completed\"") != std::string::npos;
     const bool cancelled = answer.body.find("\"cancelled\"") != std::string::npos;
     const bool failed = answer.body.find("\"failed\"") != std::string::npos;
     if ((cancelled || (failed && !job.faulty)) && !job.cancel_sent) {
-        m_problems.push_back("neither cancelled nor failed, and shown so: " + id + " " + answer.body);
+        m_problems.push_back("shown as cancelled or failed although no cancellation was sent: " + id + " " +
+                             answer.body);
     }
     if (was_shown_failed && answer.code == ok && !failed) {
         m_problems.push_back("shown as failed, and as something else later: " + id + " " + answer.body);
--- a/soak/soak.cpp
+++ b/soak/soak.cpp
@@ -161,7 +161,7 @@
             add_problem("accepted and not completed: " + id);
         }
         for (const std::string& item : runs_left_after_cancel(m_load_generator.jobs(), m_cluster.runs())) {
-            add_problem("runs on after its cancelling: " + item);
+            add_problem("still running after the cancellation of its job: " + item);
         }
         if (m_load_generator.count_up_to_date_nodes() < m_cluster.nodes()) {
             add_problem("the newest configuration is not in force everywhere");
@@ -271,17 +271,18 @@
 int main(int argc, char** argv) {
     try {
         TCLAP::CmdLine line(
-            "Runs node processes of siskinpaddle on loopback, breaks things around them by a plan "
-            "that its seed gives, and checks what clients, VMs and the store see. Exit codes: 0 all "
-            "promises held, 1 one was broken, 2 bad usage.",
+            "Runs node processes of siskinpaddle on loopback, injects faults by a plan that is derived "
+            "from a seed, and checks what clients, VMs and the store observe. Exit codes: 0 no violations, "
+            "1 violations found, 2 invalid usage.",
             ' ', SISKINPADDLE_VERSION);
         TCLAP::ValueArg<std::string> program("", "node", "The node program.", true, "", "FILE", line);
-        TCLAP::ValueArg<std::string> folder("", "folder", "Settings and logs of the nodes go there.", true,
-                                            "", "FOLDER", line);
+        TCLAP::ValueArg<std::string> folder("", "folder", "Directory for the nodes' settings files and logs.",
+                                            true, "", "FOLDER", line);
         TCLAP::ValueArg<std::uint64_t> seed("", "seed", "Seed of the plan.", false, 1, "N", line);
-        TCLAP::ValueArg<std::uint32_t> seconds("", "seconds", "How long faults begin.", false, 15, "S", line);
-        TCLAP::ValueArg<std::uint32_t> nodes("", "nodes", "Node processes.", false, 3, "N", line);
-        TCLAP::ValueArg<std::uint32_t> vms("", "vms", "Stand-in VMs.", false, 4, "N", line);
+        TCLAP::ValueArg<std::uint32_t> seconds("", "seconds", "Period in which faults start, in seconds.",
+                                               false, 15, "S", line);
+        TCLAP::ValueArg<std::uint32_t> nodes("", "nodes", "Number of node processes.", false, 3, "N", line);
+        TCLAP::ValueArg<std::uint32_t> vms("", "vms", "Number of fake VMs.", false, 4, "N", line);
         TCLAP::SwitchArg plan("", "plan", "Only print the plan.", line);
         line.parse(argc, argv);
         soak_options options;
--- a/soak/test_cluster.cpp
+++ b/soak/test_cluster.cpp
@@ -21,9 +21,9 @@
 constexpr milliseconds grace = 6s;
 constexpr milliseconds end_slack = 6s;
 constexpr milliseconds link_delay = 300ms;
-/// In this period a slow node runs for one iteration of the soak's event loop (2 ms), which is eight
-/// iterations within the lease (2 s) of an owner's claim. With 60, 150, 250 and 400 ms, one run of each of 12
-/// seeds detects an owner that counts only jobs already transferred from the inbox in 0, 0, 2 and 1 runs.
+/// In this period a slow node runs for one iteration of the soak's event loop (2 ms): eight iterations within
+/// the lease (2 s) of an owner's claim. With periods of 60, 150, 250 and 400 ms, and one run for each of 12
+/// seeds, 0, 0, 2 and 1 runs detect an owner that counts only jobs already transferred from the inbox.
 constexpr milliseconds slow_period = 250ms;
 /// Time that the start of a node's program can take on a busy machine.
 constexpr milliseconds startup_time = 1s;
@@ -201,7 +201,7 @@
         state.link->set_server(server);
     });
     if (!state.machine->start()) {
-        m_problems.emplace_back("a stand-in VM can't listen");
+        m_problems.emplace_back("a fake VM can't listen");
     }
 }
 
@@ -473,7 +473,7 @@
     for (const auto& state : m_nodes) {
         const bool running = state->process->is_running();
         if (!running && !state->is_ending) {
-            m_problems.push_back(state->id + " ended by itself, code " +
+            m_problems.push_back(state->id + " ended unexpectedly, code " +
                                  std::to_string(state->process->exit_code()));
         }
         const bool overdue = state->terminated_at != timestamp(0) &&
--- a/tests/fakes/task_vm.hpp
+++ b/tests/fakes/task_vm.hpp
@@ -41,7 +41,7 @@
 
     [[nodiscard]] bool listen(const endpoint& where) { return m_server.listen(where); }
     [[nodiscard]] std::uint16_t port() const { return m_server.port(); }
-    /// Value of the VM's entry in the platform's directory.
+    /// Value of the VM's registration in the platform's store.
     [[nodiscard]] std::string registration(const std::string& pool) const {
         return registration(pool, m_server.port());
     }
--- a/tests/net/large_answer_test.cpp
+++ b/tests/net/large_answer_test.cpp
@@ -9,9 +9,9 @@
 using siskinpaddle::tests::raw_server;
 
 TEST_CASE("a large answer does not take an iteration of the event loop per few kilobytes") {
-    // Guards against watches that time out on a busy pool owner: libevent reads 4 KB per iteration of 150 to
-    // 200 ms, so half of an answer of 118,709 bytes is read by the timeout and each retry is larger. The
-    // owner's copy of the store gets 5.8 to 7.6 s old and it counts 12 of 55 waiting jobs.
+    // Guards against watch timeouts on a busy pool owner: libevent reads 4 KB per iteration of 150 to 200 ms,
+    // half of an answer of 118,709 bytes before the timeout, and each retry is larger (2 failures in 4544
+    // ms). The owner's copy of the store is then 5.8 to 7.6 s old and the owner counts 12 of 55 waiting jobs.
     constexpr std::size_t body_size = 256UL * 1024;
     // The server writes 16 KB per iteration: 16 iterations, and some to connect and to send the request.
     constexpr int max_iterations = 32;
--- a/tests/net/slow_answer_test.cpp
+++ b/tests/net/slow_answer_test.cpp
@@ -23,9 +23,9 @@
 } // namespace
 
 TEST_CASE("a call for a large answer doesn't time out while the answer keeps arriving") {
-    // Guards against pools that have no owner after all nodes lost power, two of four in this case: new
-    // owners read the accepted jobs, 340 KB over a link of 2 Mbit/s, aborted each page after 1.5 s with most
-    // of it received, and requested it again.
+    // Guards against pools that stay without an owner after all nodes lost power, two of four in one case:
+    // each new owner reads the accepted jobs, 340 KB over a link of 2 Mbit/s, aborts each page after 1.5 s
+    // with most of it received, and requests it again.
     using s = exchange_status;
     const std::vector<slow_answer_case> rows{
         {"keeps arriving", total_parts, 10s, s::answered},
--- a/tests/telemetry/test_log.hpp
+++ b/tests/telemetry/test_log.hpp
@@ -7,7 +7,7 @@
 namespace siskinpaddle::tests {
 
 /// Starts the event log once per test process. Logs errors only, or events from the level in the environment
-/// variable SISKINPADDLE_TEST_LOG. Not thread-safe.
+/// variable SISKINPADDLE_TEST_LOG upwards. Not thread-safe.
 inline void start_test_log() {
     static bool started = false;
     if (started) {
