--- a/bench/fleet_model.cpp
+++ b/bench/fleet_model.cpp
@@ -163,7 +163,7 @@
     if (!is_up(vm)) {
         return;
     }
-    m_are_counts_stale = true;
+    m_counts_stale = true;
     m_down_until[vm] = m_now + downtime;
     m_observations.listed_vms.erase(vm);
     schedule(downtime, event_kind::vm_returns, vm);
@@ -211,7 +211,7 @@
     }
     case event_kind::vm_returns:
     case event_kind::reboot_ends: {
-        m_are_counts_stale = true;
+        m_counts_stale = true;
         m_down_until.erase(item.subject);
         const vm_record* vm = m_fleet.find_vm(item.subject);
         listed_vm& listed = m_listed_vms[item.subject];
@@ -299,7 +299,7 @@
     }
     record_planned_steps(plan);
     m_fleet = plan.next;
-    m_are_counts_stale = true;
+    m_counts_stale = true;
     return true;
 }
 
@@ -330,11 +330,11 @@
         m_serving_vms[vm.pool] += vm.state == vm_state::serving && is_up(vm.id) ? 1 : 0;
         m_has_wave_remaining = m_has_wave_remaining || (vm.completed_wave == 0 && vm.state != vm_state::lost);
     }
-    m_are_counts_stale = false;
+    m_counts_stale = false;
 }
 
 void fleet_model::accumulate_metrics(milliseconds elapsed) {
-    if (m_are_counts_stale) {
+    if (m_counts_stale) {
         count_serving_vms();
     }
     if (m_has_wave_remaining) {
@@ -363,11 +363,11 @@
             accumulate_metrics(at - m_now);
             m_now = at;
             handle_event(item);
-            if (m_are_counts_stale) {
+            if (m_counts_stale) {
                 break; // A VM went down or returned; the planner handles it at its next step.
             }
         }
-        if (!m_are_counts_stale) {
+        if (!m_counts_stale) {
             accumulate_metrics(next_check - m_now);
             m_now = next_check;
         }
--- a/bench/fleet_model.hpp
+++ b/bench/fleet_model.hpp
@@ -144,7 +144,7 @@
     double m_decision_seconds = 0;
     std::map<std::string, std::int64_t> m_serving_vms; ///< VMs that are up and serving, per pool.
     bool m_has_wave_remaining = true;
-    bool m_are_counts_stale = true;
+    bool m_counts_stale = true;
     timestamp m_wave_ended_at{0};
     double m_buffer_vm_ms = 0;
     double m_breach_vm_ms = 0;
--- a/gateway/operator_gateway.hpp
+++ b/gateway/operator_gateway.hpp
@@ -22,7 +22,7 @@
 
   private:
     using request_ptr = std::shared_ptr<server_request>;
-    using action = void (operator_gateway::*)(const request_ptr& from, const std::string& member);
+    using action = void (operator_gateway::*)(const request_ptr& request, const std::string& member);
     struct route {
         std::string_view method;
         std::string_view path; ///< A path that ends with '/' matches as a prefix.
--- a/jobs/balance.cpp
+++ b/jobs/balance.cpp
@@ -67,7 +67,7 @@
 /// Classifies the pool's machines: can be moved now, can be moved after evacuation, must stay.
 void classify_machines(pool_account& account, const pool_demand& demand,
                        const std::vector<balance_machine>& machines) {
-    std::vector<std::pair<std::int64_t, const balance_machine*>> clearable;
+    std::vector<std::pair<std::int64_t, const balance_machine*>> evacuation_candidates;
     for (const balance_machine& machine : machines) {
         if (machine.pool != account.name || machine.is_reserved) {
             continue;
@@ -87,13 +87,13 @@
         if (load->is_idle) {
             account.idle.push_back(&machine);
         } else {
-            clearable.emplace_back(load->used_millicores, &machine);
+            evacuation_candidates.emplace_back(load->used_millicores, &machine);
         }
     }
     // VMs that are already kept empty can be moved at once; the least used ones become empty soonest.
     std::ranges::stable_sort(account.idle, std::greater{}, &balance_machine::kept_empty);
-    std::ranges::stable_sort(clearable, {}, [](const auto& item) { return item.first; });
-    for (const auto& [used, machine] : clearable) {
+    std::ranges::stable_sort(evacuation_candidates, {}, [](const auto& item) { return item.first; });
+    for (const auto& [used, machine] : evacuation_candidates) {
         account.evacuation_candidates.push_back(machine);
     }
 }
@@ -132,17 +132,17 @@
 /// If there are fewer machines than all pools request, gives each pool the same share of its request beyond
 /// its minimum. Returns the number of machines that no pool needs.
 std::size_t distribute_shares(std::vector<pool_account>& pools, std::size_t machines) {
-    std::size_t least = 0;
+    std::size_t min_vms = 0;
     std::size_t wanted = 0;
     for (const pool_account& pool : pools) {
-        least += pool.min_vms;
+        min_vms += pool.min_vms;
         wanted += pool.wanted;
     }
-    if (wanted <= machines || wanted == least) {
+    if (wanted <= machines || wanted == min_vms) {
         return machines - std::min(machines, wanted);
     }
-    const double beyond = machines > least ? static_cast<double>(machines - least) : 0;
-    const double share = beyond / static_cast<double>(wanted - least);
+    const double beyond = machines > min_vms ? static_cast<double>(machines - min_vms) : 0;
+    const double share = beyond / static_cast<double>(wanted - min_vms);
     for (pool_account& pool : pools) {
         const double part = share * static_cast<double>(pool.wanted - pool.min_vms);
         pool.wanted = pool.min_vms + static_cast<std::size_t>(part);
--- a/jobs/scheduler.cpp
+++ b/jobs/scheduler.cpp
@@ -262,17 +262,17 @@
 
 std::vector<std::pair<std::string, job_phase>> scheduler::remove_final_jobs(timestamp now,
                                                                             milliseconds keep) {
-    std::vector<std::pair<std::string, job_phase>> forgotten;
+    std::vector<std::pair<std::string, job_phase>> removed;
     std::erase_if(m_jobs, [&](const auto& item) {
         const job_state& job = item.second;
         if (!job.is_final_phase_stored || job.total_runs() > 0 || now - job.final_at < keep) {
             return false;
         }
-        forgotten.emplace_back(item.first, job.phase());
+        removed.emplace_back(item.first, job.phase());
         std::erase_if(m_advice, [&](const auto& known) { return std::get<0>(known.first) == item.first; });
         return true;
     });
-    return forgotten;
+    return removed;
 }
 
 // --- Storing ---
--- a/jobs/scheduler.hpp
+++ b/jobs/scheduler.hpp
@@ -246,7 +246,7 @@
     [[nodiscard]] std::size_t usable_vm_count() const;
     [[nodiscard]] double shrink_factor() const;
     [[nodiscard]] vm_state* choose_vm_for_task(const job_state& job, const task_id& id,
-                                               const step_advice* advice, const std::string& near_rack,
+                                               const step_advice* advice, const std::string& preferred_rack,
                                                timestamp now);
     [[nodiscard]] vm_state* choose_isolated_vm(const job_state& job, const task_id& id,
                                                const step_advice* advice, timestamp now);
@@ -269,8 +269,8 @@
     [[nodiscard]] std::uint64_t vms_for_long_running(std::size_t usable_vms) const;
     [[nodiscard]] std::map<std::string, std::int64_t> wanted_by_label(timestamp now) const;
     void place_step(job_state& job, step_position position, timestamp now);
-    bool place_task(job_state& job, const task_id& id, std::uint32_t attempt, const std::string& near_rack,
-                    timestamp now);
+    bool place_task(job_state& job, const task_id& id, std::uint32_t attempt,
+                    const std::string& preferred_rack, timestamp now);
     [[nodiscard]] step_advice* advice_for(const job_state& job, step_position position);
     void request_advice(const job_state& job, step_position position, step_advice& advice, timestamp now);
     void place_gang(job_state& job, step_position position, timestamp now);
--- a/jobs/scheduler_decide.cpp
+++ b/jobs/scheduler_decide.cpp
@@ -295,12 +295,12 @@
 }
 
 bool scheduler::place_task(job_state& job, const task_id& id, std::uint32_t attempt,
-                           const std::string& near_rack, timestamp now) {
+                           const std::string& preferred_rack, timestamp now) {
     if (!job.crashes_stored(id)) {
         return false;
     }
     const step_advice* advice = advice_for(job, {id.occurrence, id.step});
-    vm_state* vm = choose_vm_for_task(job, id, advice, near_rack, now);
+    vm_state* vm = choose_vm_for_task(job, id, advice, preferred_rack, now);
     if (vm == nullptr) {
         return false;
     }
--- a/jobs/scheduler_suspects.cpp
+++ b/jobs/scheduler_suspects.cpp
@@ -303,11 +303,11 @@
 }
 
 vm_state* scheduler::choose_vm_for_task(const job_state& job, const task_id& id, const step_advice* advice,
-                                        const std::string& near_rack, timestamp now) {
+                                        const std::string& preferred_rack, timestamp now) {
     const task_state& task = job.task(id);
     const suspicion level = suspicion_of(task.crashes);
     if (level < suspicion::suspected) {
-        return choose_vm(m_vms, job, id, m_settings.placement, advice, near_rack, now);
+        return choose_vm(m_vms, job, id, m_settings.placement, advice, preferred_rack, now);
     }
     if (m_last_suspect_job != id.job && now - m_last_suspect_started_at < suspect_start_interval) {
         return nullptr;
@@ -319,9 +319,10 @@
     }
     const auto at_risk = static_cast<std::size_t>(
         std::ranges::count_if(m_vms, [](const auto& item) { return !item.second.suspect_jobs.empty(); }));
-    const bool may_widen =
+    const bool allow_new_vm =
         gang || at_risk < max_vms_at_risk(usable_vm_count()) || now - task.idle_since >= spread_delay;
-    return choose_vm_for_suspect(m_vms, job, id, m_settings.placement, advice, near_rack, may_widen, now);
+    return choose_vm_for_suspect(m_vms, job, id, m_settings.placement, advice, preferred_rack, allow_new_vm,
+                                 now);
 }
 
 /// Counts the runs of other jobs on the VM that could be blamed if the VM ended now.
--- a/jobs/scheduler_vms.cpp
+++ b/jobs/scheduler_vms.cpp
@@ -243,13 +243,13 @@
         return true;
     }
     bool serving = false;
-    bool leftover = false;
+    bool best_effort = false;
     std::size_t short_runs = 0;
     for (const task_id& id : found->second.tasks()) {
         const job_state& job = m_jobs.find(id.job)->second;
         const step_spec& step = job.spec().steps[id.step];
         serving = serving || step.target_tail_latency_ms > 0;
-        leftover = leftover || step.best_effort;
+        best_effort = best_effort || step.best_effort;
         short_runs += step.long_running ? 0 : 1;
         for (const run& item : job.task(id).runs) {
             if (item.vm == name &&
@@ -259,7 +259,7 @@
             }
         }
     }
-    return (serving && leftover) || short_runs >= m_settings.frequent_poll_runs;
+    return (serving && best_effort) || short_runs >= m_settings.frequent_poll_runs;
 }
 
 } // namespace siskinpaddle::jobs
--- a/jobs/work_gauge.cpp
+++ b/jobs/work_gauge.cpp
@@ -70,14 +70,14 @@
 
 waiting_work estimate_waiting_work(const job_state& job, std::uint32_t occurrence, const work_gauge& gauge) {
     waiting_work result;
-    job.for_each_step_of(occurrence, [&](step_position place) {
-        if (job.idle_tasks(place) == 0) {
+    job.for_each_step_of(occurrence, [&](step_position position) {
+        if (job.idle_tasks(position) == 0) {
             return;
         }
         const std::int64_t work =
-            estimate_work(job.spec().steps[place.step], job.idle_tasks(place), job.spec().queue, gauge);
+            estimate_work(job.spec().steps[position.step], job.idle_tasks(position), job.spec().queue, gauge);
         result.all += work;
-        result.runnable += job.dependencies_done(place) ? work : 0;
+        result.runnable += job.dependencies_done(position) ? work : 0;
     });
     return result;
 }
--- a/node/fleet_maintenance.cpp
+++ b/node/fleet_maintenance.cpp
@@ -34,7 +34,7 @@
         item.kept_empty = is_spare || m_empty_vms.contains(info.incarnation);
         item.is_idle = is_spare || idle_vms.contains(info.incarnation);
         item.hosts_long_running = long_running_vms.contains(info.incarnation);
-        item.evacuating = m_vms_asked_to_clear.contains(info.incarnation);
+        item.evacuating = m_vms_asked_to_evacuate.contains(info.incarnation);
         view[name] = std::move(item);
     }
     return view;
@@ -54,7 +54,7 @@
             jobs::plan_wave(item.state, view, m_context.settings.maintenance_time, event_loop::now());
         for (const std::string& machine : step.to_evacuate) {
             const platform::machine_info& info = m_machines[machine];
-            m_vms_to_clear.add(info.pool, info.incarnation);
+            m_vms_to_evacuate.add(info.pool, info.incarnation);
         }
         for (const std::string& machine : step.to_maintain) {
             plan_maintenance(item, machine);
--- a/node/fleet_moves.cpp
+++ b/node/fleet_moves.cpp
@@ -39,7 +39,7 @@
         item.millicores = info.capacity.cpu_millicores;
         item.kept_empty = m_empty_vms.contains(info.incarnation);
         item.is_reserved = in_maintenance.contains(name) || m_recently_ordered.contains(name) ||
-                           m_vms_to_clear.contains(info.pool, info.incarnation);
+                           m_vms_to_evacuate.contains(info.pool, info.incarnation);
         if (const auto move = m_moves.find(name); move != m_moves.end()) {
             item.pool = move->second.pool;
             item.is_moving = true;
@@ -76,14 +76,14 @@
 void fleet_task::plan_moves() {
     const std::string spare = spare_pool();
     const jobs::balance_plan balance =
-        jobs::plan_balance(balance_view(), recent_demands(), spare, {}, m_balance_memory, event_loop::now());
-    m_surplus_machines = balance.unneeded_machines;
+        jobs::plan_balance(balance_view(), recent_demands(), spare, {}, m_balance_state, event_loop::now());
+    m_unneeded_machines = balance.unneeded_machines;
     refill_order_budget();
     for (const jobs::machine_move& move : balance.moves) {
         const platform::machine_info& info = m_machines[move.machine];
         if (info.pool != spare && !m_empty_vms.contains(info.incarnation)) {
-            m_vms_to_clear.add(info.pool, info.incarnation);
-            m_has_new_clear_request = true;
+            m_vms_to_evacuate.add(info.pool, info.incarnation);
+            m_has_new_evacuation_request = true;
         } else if (m_order_budget >= 1) {
             m_order_budget -= 1;
             plan_move(move);
@@ -91,7 +91,7 @@
     }
     for (const auto& [name, info] : m_machines) {
         if (balance.vms_to_evacuate.contains(info.incarnation)) {
-            m_vms_to_clear.add(info.pool, info.incarnation);
+            m_vms_to_evacuate.add(info.pool, info.incarnation);
         }
     }
 }
@@ -99,7 +99,7 @@
 void fleet_task::plan_move(const jobs::machine_move& move) {
     const platform::machine_info& info = m_machines[move.machine];
     m_moves[move.machine] = {move.pool, info.incarnation, event_loop::now()};
-    m_vms_to_clear.add(info.pool, info.incarnation);
+    m_vms_to_evacuate.add(info.pool, info.incarnation);
     m_planned.push_back(
         {move.machine, [this, move] { order_move(move); }, [this, move] { m_moves.erase(move.machine); }});
 }
@@ -123,7 +123,7 @@
                                           {"outcome", name_of(outcome)},
                                           {"token", m_ownership.token}});
     if (outcome == platform::machine_outcome::invalid) {
-        m_balance_memory.refused_kinds.emplace(kind, move.pool);
+        m_balance_state.refused_kinds.emplace(kind, move.pool);
     }
     if (outcome != platform::machine_outcome::done && outcome != platform::machine_outcome::unknown) {
         m_moves.erase(move.machine);
--- a/node/fleet_task.cpp
+++ b/node/fleet_task.cpp
@@ -84,7 +84,7 @@
 
 void fleet_task::query_demands() {
     ++m_round;
-    m_round_began_at = event_loop::now();
+    m_round_started_at = event_loop::now();
     m_demands.clear();
     m_empty_vms.clear();
     const std::vector<std::string> pools = m_context.configuration.current().pools_with_queues();
@@ -96,8 +96,8 @@
         request.pool = pool;
         request.configuration_version = m_context.configuration.current().version;
         request.arriving_vms = count_arriving(pool);
-        request.obtainable_machines = m_surplus_machines;
-        const std::set<std::string> kept_empty = m_vms_to_clear.vms_of_pool(pool);
+        request.unneeded_machines = m_unneeded_machines;
+        const std::set<std::string> kept_empty = m_vms_to_evacuate.vms_of_pool(pool);
         request.vms_to_empty.assign(kept_empty.begin(), kept_empty.end());
         m_context.ask_pool(request, [this, pool, kept_empty, round = m_round,
                                      alive = m_lifetime.weak_token()](const peer_answer& answer) {
@@ -140,7 +140,7 @@
             if (alive.expired() || round != m_round || m_stopped) {
                 return;
             }
-            m_timer->start(std::max(0ms, m_round_began_at + round_interval - event_loop::now()));
+            m_timer->start(std::max(0ms, m_round_started_at + round_interval - event_loop::now()));
             if (!list.is_complete) {
                 log_event(event_id::machines_unknown, {{"round", round}});
                 return;
@@ -173,13 +173,13 @@
 }
 
 void fleet_task::plan() {
-    m_vms_asked_to_clear = m_vms_to_clear.all_vms();
-    m_vms_to_clear.clear();
-    m_has_new_clear_request = false;
+    m_vms_asked_to_evacuate = m_vms_to_evacuate.all_vms();
+    m_vms_to_evacuate.clear();
+    m_has_new_evacuation_request = false;
     for (const auto& [machine, move] : m_moves) {
         if (const auto found = m_machines.find(machine); found != m_machines.end()) {
             // The order may not have been executed yet.
-            m_vms_to_clear.add(found->second.pool, move.previous_vm);
+            m_vms_to_evacuate.add(found->second.pool, move.previous_vm);
         }
     }
     if (!may_order()) {
@@ -188,7 +188,7 @@
     plan_waves();
     plan_moves();
     send_orders();
-    if (m_has_new_clear_request) {
+    if (m_has_new_evacuation_request) {
         m_timer->start(immediate_round_delay);
     }
 }
--- a/node/fleet_task.hpp
+++ b/node/fleet_task.hpp
@@ -97,7 +97,7 @@
     std::unique_ptr<timer> m_answers_timer;
 
     std::uint64_t m_round = 0;
-    timestamp m_round_began_at{0};
+    timestamp m_round_started_at{0};
     std::set<std::string> m_unanswered; ///< Pools whose owners have not answered in this round.
     std::map<std::string, jobs::pool_demand> m_demands; ///< Answers of this round.
     struct latest_demand {
@@ -108,7 +108,8 @@
     /// VMs on which nothing runs and which their pools' owners keep empty, as answered in this round.
     std::set<std::string> m_empty_vms;
     std::map<std::string, platform::machine_info> m_machines;
-    bool m_has_new_clear_request = false; ///< A clear request is new: the next round can order its VM away.
+    /// An evacuation request is new: the next round can order its VM away.
+    bool m_has_new_evacuation_request = false;
 
     /// An order that is planned and not yet announced.
     struct planned_order {
@@ -128,11 +129,11 @@
 
     std::map<std::int64_t, wave> m_waves;
     /// VMs that their pools' owners were asked to empty in the last round.
-    std::set<std::string> m_vms_asked_to_clear;
-    jobs::evacuation_list m_vms_to_clear;        ///< VMs that their pools' owners are to keep empty.
+    std::set<std::string> m_vms_asked_to_evacuate;
+    jobs::evacuation_list m_vms_to_evacuate;     ///< VMs that their pools' owners are to keep empty.
     std::map<std::string, pending_move> m_moves; ///< By machine.
-    jobs::balance_state m_balance_memory;
-    std::size_t m_surplus_machines = 0; ///< Number of machines that no pool wanted in the last plan.
+    jobs::balance_state m_balance_state;
+    std::size_t m_unneeded_machines = 0; ///< Number of machines that no pool wanted in the last plan.
     bool m_stopped = false;
     lifetime m_lifetime;
 };
--- a/node/ingress_task.cpp
+++ b/node/ingress_task.cpp
@@ -15,7 +15,7 @@
 /// the fallback through the store must still fit into the client's deadline of about three seconds.
 constexpr milliseconds owner_timeout = 900ms;
 /// Sent while no node can accept the job; an owner is replaced in about three seconds.
-constexpr milliseconds retry_after_takeover = 1s;
+constexpr milliseconds retry_after_no_owner = 1s;
 constexpr milliseconds retry_after_unavailable = 1s;
 /// An owner that did not answer gets no requests for this long; the store is used at once instead.
 constexpr milliseconds unresponsive_owner_pause = 1s;
@@ -241,7 +241,7 @@
 void ingress_task::submit_through_store(const client_context& client, bool may_be_stored) {
     if (store_is_failing(m_context.store, event_loop::now())) {
         may_be_stored ? report_unknown_outcome(client, "store")
-                      : refuse(client, "store", retry_after_takeover);
+                      : refuse(client, "store", retry_after_no_owner);
         return;
     }
     const overload* recent = recent_overload(client.call.pool);
@@ -268,7 +268,7 @@
             observe(client, "ok_by_store");
             platform::answer_accepted(*client.request);
         } else if (answer.status == platform::store_status::refused && !may_be_stored) {
-            refuse(client, "store", retry_after_takeover);
+            refuse(client, "store", retry_after_no_owner);
         } else {
             report_unknown_outcome(client, "store");
         }
@@ -302,7 +302,7 @@
 
 void ingress_task::read_status_from_store(const client_context& client) {
     if (store_is_failing(m_context.store, event_loop::now())) {
-        refuse(client, "store", retry_after_takeover);
+        refuse(client, "store", retry_after_no_owner);
         return;
     }
     look_up_job(m_context.store, client.call.pool, client.call.job,
--- a/node/membership_task.cpp
+++ b/node/membership_task.cpp
@@ -194,9 +194,9 @@
     } else if (item.key.starts_with(liveness_prefix)) {
         const std::string duty = item.key.substr(liveness_prefix.size());
         if (item.deleted) {
-            m_live_keys.erase(duty);
+            m_liveness_keys.erase(duty);
         } else {
-            m_live_keys[duty] = item;
+            m_liveness_keys[duty] = item;
         }
     }
 }
@@ -260,7 +260,7 @@
 /// for several of them. All nodes with the same view compute the same assignment.
 std::size_t membership_task::claim_position(const std::string& duty) const {
     std::map<std::string, std::size_t> duties;
-    for (const auto& [name, alive] : m_live_keys) {
+    for (const auto& [name, alive] : m_liveness_keys) {
         ++duties[alive.value];
     }
     for (const std::string& vacant : m_duties) {
@@ -273,7 +273,7 @@
             return static_cast<std::size_t>(
                 std::ranges::count_if(m_nodes, [&](const auto& item) { return rank(item.second) < own; }));
         }
-        if (!m_live_keys.contains(vacant) && !m_nodes.empty()) {
+        if (!m_liveness_keys.contains(vacant) && !m_nodes.empty()) {
             const auto first =
                 std::ranges::min_element(m_nodes, {}, [&](const auto& item) { return rank(item.second); });
             ++duties[first->first];
@@ -288,12 +288,13 @@
     const bool ready = m_claiming_enabled && m_listed && m_lease != 0 && m_registered_at != timestamp(0);
     const bool startup_delay_passed = now - m_started_at >= startup_claim_delay;
     for (const std::string& duty : m_duties) {
-        const auto alive = m_live_keys.find(duty);
+        const auto alive = m_liveness_keys.find(duty);
         const auto owner = m_owners.find(duty);
         const bool owned_by_self = owner != m_owners.end() && owner->second.owner.id == m_self.id;
         // A key under the lease of this node's previous incarnation is stale: that process has ended.
-        const bool is_stale = owned_by_self && alive != m_live_keys.end() && alive->second.lease != m_lease;
-        if (alive != m_live_keys.end() && !is_stale) {
+        const bool is_stale =
+            owned_by_self && alive != m_liveness_keys.end() && alive->second.lease != m_lease;
+        if (alive != m_liveness_keys.end() && !is_stale) {
             m_vacant_since.erase(duty);
             continue;
         }
@@ -315,11 +316,11 @@
         const bool same = owner->second.owner.incarnation == m_self.incarnation;
         record.epoch = owner->second.epoch + (same ? 0 : 1);
     }
-    const auto alive = m_live_keys.find(duty);
+    const auto alive = m_liveness_keys.find(duty);
     platform::store_transaction change;
     change.conditions.push_back({owner_prefix + duty, m_owner_revisions[duty]});
     change.conditions.push_back(
-        {liveness_prefix + duty, alive == m_live_keys.end() ? 0 : alive->second.revision});
+        {liveness_prefix + duty, alive == m_liveness_keys.end() ? 0 : alive->second.revision});
     change.writes.push_back({owner_prefix + duty, encode_archive(record), 0});
     change.writes.push_back({liveness_prefix + duty, m_self.id, m_lease});
     m_pending_claims.insert(duty);
@@ -370,8 +371,8 @@
 void membership_task::release(const std::string& duty) {
     m_owned.erase(duty);
     platform::store_transaction change;
-    const auto alive = m_live_keys.find(duty);
-    if (alive == m_live_keys.end()) {
+    const auto alive = m_liveness_keys.find(duty);
+    if (alive == m_liveness_keys.end()) {
         return;
     }
     change.conditions.push_back({liveness_prefix + duty, alive->second.revision});
--- a/node/membership_task.hpp
+++ b/node/membership_task.hpp
@@ -130,7 +130,7 @@
     std::map<std::string, owner_record> m_owners;
     std::map<std::string, std::string> m_previous_owners; ///< Duty -> id of the owner before the current one.
     std::map<std::string, std::int64_t> m_owner_revisions;
-    std::map<std::string, platform::store_item> m_live_keys; ///< Duty -> its key under the owner's lease.
+    std::map<std::string, platform::store_item> m_liveness_keys; ///< Duty -> its key under the owner's lease.
     std::map<std::string, timestamp> m_vacant_since;
     std::map<std::string, owned_duty> m_owned;
     std::set<std::string> m_duties;
--- a/node/peer_protocol.hpp
+++ b/node/peer_protocol.hpp
@@ -38,12 +38,12 @@
     std::vector<std::string> vms_to_empty;
     std::uint64_t arriving_vms = 0; ///< With `demand_query`: number of VMs being moved to the pool.
     /// With `demand_query`: number of machines that no pool wanted in the last round.
-    std::uint64_t obtainable_machines = 0;
+    std::uint64_t unneeded_machines = 0;
     std::int64_t configuration_version = 0; ///< Configuration version in force at the sender.
 
     template <typename Archive>
     void serialize(Archive& archive) {
-        archive(kind, pool, job, queue, spec, vms_to_empty, arriving_vms, obtainable_machines,
+        archive(kind, pool, job, queue, spec, vms_to_empty, arriving_vms, unneeded_machines,
                 configuration_version);
     }
 };
--- a/node/pool_renewals.cpp
+++ b/node/pool_renewals.cpp
@@ -84,7 +84,7 @@
         }
         renewal->second.failures = 0;
         m_scheduler.handle_report(vm, *answer.report, now);
-        if (!m_cleared_vms.contains(vm) && !m_vm_record.may_contain(vm)) {
+        if (!m_evacuated_vms.contains(vm) && !m_vm_record.may_contain(vm)) {
             m_vm_record_timer->start(0ms); // The VM had been unresponsive and was removed from the record.
         }
         schedule_decision();
--- a/node/pool_requests.cpp
+++ b/node/pool_requests.cpp
@@ -109,7 +109,7 @@
 /// record names them.
 void pool_task::uncordon_vms(const std::set<std::string>& vms) {
     for (const std::string& vm : vms) {
-        if (m_cleared_vms.contains(vm)) {
+        if (m_evacuated_vms.contains(vm)) {
             continue;
         }
         if (m_vm_record.contains(vm)) {
@@ -122,14 +122,14 @@
 
 void pool_task::answer_demand_query(const peer_request& request, const reply& done) {
     const std::set<std::string> wanted(request.vms_to_empty.begin(), request.vms_to_empty.end());
-    const bool changed = wanted != m_cleared_vms;
-    const std::set<std::string> previously_cleared = std::exchange(m_cleared_vms, wanted);
+    const bool changed = wanted != m_evacuated_vms;
+    const std::set<std::string> previously_cleared = std::exchange(m_evacuated_vms, wanted);
     for (const std::string& vm : wanted) {
         m_scheduler.cordon(vm, true);
     }
     uncordon_vms(previously_cleared);
-    m_cleared_at = event_loop::now();
-    m_scheduler.set_expected_vms(request.arriving_vms, request.obtainable_machines);
+    m_evacuated_at = event_loop::now();
+    m_scheduler.set_expected_vms(request.arriving_vms, request.unneeded_machines);
     m_directory.expect_changes(request.arriving_vms > 0);
     peer_answer answer = make_answer(peer_outcome::ok);
     answer.demand = m_scheduler.demand(event_loop::now());
--- a/node/pool_storing.cpp
+++ b/node/pool_storing.cpp
@@ -197,8 +197,8 @@
         return;
     }
     m_cleaned_up_at = now;
-    if (!m_cleared_vms.empty() && now - m_cleared_at > cleared_timeout) {
-        uncordon_vms(std::exchange(m_cleared_vms, {}));
+    if (!m_evacuated_vms.empty() && now - m_evacuated_at > cleared_timeout) {
+        uncordon_vms(std::exchange(m_evacuated_vms, {}));
     }
     for (const auto& [id, phase] : m_scheduler.remove_final_jobs(now, scheduler_retention)) {
         m_ended[id] = phase;
--- a/node/pool_submits.cpp
+++ b/node/pool_submits.cpp
@@ -137,7 +137,7 @@
     m_repeated_submits.erase(first, last);
 }
 
-bool pool_task::has_unconfirmed(const std::vector<waiting_submit>& batch) const {
+bool pool_task::has_unconfirmed_submit(const std::vector<waiting_submit>& batch) const {
     return std::ranges::any_of(batch, [this](const waiting_submit& item) {
         return m_unconfirmed_submits.contains(item.record.spec.id);
     });
@@ -164,7 +164,7 @@
         std::erase_if(batch,
                       [&](const waiting_submit& item) { return finish_if_progress_found(item, answer); });
         retry_submits(std::move(batch));
-    } else if (unanswered || has_unconfirmed(batch)) {
+    } else if (unanswered || has_unconfirmed_submit(batch)) {
         // The write may still be executed, so a refusal could be wrong: the write is repeated until its
         // outcome is known.
         for (const waiting_submit& item : batch) {
--- a/node/pool_task.cpp
+++ b/node/pool_task.cpp
@@ -61,7 +61,7 @@
               [this](const platform::store_item& item) { process_inbox_submit(item); }),
       m_vm_record_timer(parts.loop.make_timer([this] { write_vm_record(); })),
       m_unresponsive_timer(parts.loop.make_timer([this] { check_unresponsive_vms(); })),
-      m_decide_timer(parts.loop.make_timer([this] { decide(); })),
+      m_decision_timer(parts.loop.make_timer([this] { decide(); })),
       m_submit_timer(parts.loop.make_timer([this] {
           m_writing_submits = false;
           write_submits();
@@ -108,7 +108,7 @@
         return;
     }
     m_decision_scheduled = true;
-    m_decide_timer->start(milliseconds(0));
+    m_decision_timer->start(milliseconds(0));
 }
 
 void pool_task::decide() {
@@ -116,7 +116,7 @@
     if (!m_ready) {
         return;
     }
-    m_decide_timer->start(decide_interval);
+    m_decision_timer->start(decide_interval);
     const bool acting = may_act() && !m_shutting_down;
     if (acting != m_was_acting) {
         m_was_acting = acting;
--- a/node/pool_task.hpp
+++ b/node/pool_task.hpp
@@ -132,7 +132,7 @@
     void finish_submit(const std::string& job, const reply& done, peer_outcome outcome);
     void answer_submit(const std::string& job, const reply& done, peer_outcome outcome);
     void write_submits();
-    [[nodiscard]] bool has_unconfirmed(const std::vector<waiting_submit>& batch) const;
+    [[nodiscard]] bool has_unconfirmed_submit(const std::vector<waiting_submit>& batch) const;
     void on_submit_stored(const waiting_submit& item);
     /// Finishes the submit and returns true if the answer to its refused write contains the job's progress.
     [[nodiscard]] bool finish_if_progress_found(const waiting_submit& item,
@@ -197,7 +197,7 @@
     std::map<std::string, vm_renewal> m_renewals;
     std::unique_ptr<timer> m_vm_record_timer;
     std::unique_ptr<timer> m_unresponsive_timer;
-    std::unique_ptr<timer> m_decide_timer;
+    std::unique_ptr<timer> m_decision_timer;
     bool m_decision_scheduled = false;
     bool m_was_acting = true; ///< Whether the owner could act, as last logged.
 
@@ -225,8 +225,8 @@
     jobs::store_batch m_store_round;
     std::size_t m_chunks_in_flight = 0;
     bool m_store_round_succeeded = true;
-    std::set<std::string> m_cleared_vms; ///< VMs to keep empty, by the last demand query.
-    timestamp m_cleared_at{0};           ///< When the last demand query arrived.
+    std::set<std::string> m_evacuated_vms; ///< VMs to keep empty, by the last demand query.
+    timestamp m_evacuated_at{0};           ///< When the last demand query arrived.
     timestamp m_cleaned_up_at{0};
     timestamp m_vm_record_reviewed_at{0};
     timestamp m_inbox_retried_at{0};
--- a/node/pool_vms.cpp
+++ b/node/pool_vms.cpp
@@ -66,7 +66,7 @@
     jobs::vm_record_inputs view;
     view.listed = listed;
     view.is_idle = m_scheduler.is_releasable(vm);
-    view.evacuating = m_cleared_vms.contains(vm);
+    view.evacuating = m_evacuated_vms.contains(vm);
     view.recorded = m_vm_record.may_contain(vm);
     if (const auto known = m_scheduler.vms().find(vm); known != m_scheduler.vms().end()) {
         const jobs::vm_state& state = known->second;
@@ -98,7 +98,7 @@
 /// their machines are wanted elsewhere.
 void pool_task::review_vm_record() {
     const timestamp now = event_loop::now();
-    const bool released = std::ranges::any_of(m_cleared_vms, [this](const std::string& vm) {
+    const bool released = std::ranges::any_of(m_evacuated_vms, [this](const std::string& vm) {
         return m_vm_record.contains(vm) && m_scheduler.is_releasable(vm);
     });
     if (released || now - m_vm_record_reviewed_at >= record_review_interval) {
@@ -173,7 +173,7 @@
         const auto listed = m_directory.vms().find(vm);
         if (listed != m_directory.vms().end() && listed->second.pool == m_pool) {
             m_scheduler.add_or_update_vm(listed->second);
-            m_scheduler.cordon(vm, m_cleared_vms.contains(vm));
+            m_scheduler.cordon(vm, m_evacuated_vms.contains(vm));
             renew_lease(vm);
         }
     }
--- a/node/watch_task.cpp
+++ b/node/watch_task.cpp
@@ -41,7 +41,7 @@
 void watch_task::refresh() {
     const milliseconds timeout =
         std::max(listing_timeout, transfer_time_factor * m_store.transfer_time(platform::large_value_bytes));
-    if (m_is_listing && event_loop::now() - m_listing_begun_at < timeout) {
+    if (m_is_listing && event_loop::now() - m_listing_started_at < timeout) {
         return;
     }
     if (m_pending_watch) {
@@ -52,7 +52,7 @@
 
 void watch_task::begin_listing() {
     m_is_listing = true;
-    m_listing_begun_at = event_loop::now();
+    m_listing_started_at = event_loop::now();
     // A retry of the previous listing or watch would clear what this listing reads.
     m_retry_action = {};
     ++m_round;
--- a/node/watch_task.hpp
+++ b/node/watch_task.hpp
@@ -71,7 +71,7 @@
     int m_failures = 0;
     timestamp m_failing_since{0};
     bool m_is_listing = false;
-    timestamp m_listing_begun_at{0};
+    timestamp m_listing_started_at{0};
     timestamp m_page_sent_at{0};  ///< When the first page of the listing was requested.
     timestamp m_watch_sent_at{0}; ///< When the latest watch was sent.
     timestamp m_complete_until{0};
--- a/policy/budget.hpp
+++ b/policy/budget.hpp
@@ -32,14 +32,14 @@
 
 /// Returns the zones of which no registered entry has reported within `zone_silence_timeout`. The state of
 /// their VMs is unknown.
-[[nodiscard]] std::set<std::string> find_silent_zones(const fleet_record& fleet, const observations& seen,
+[[nodiscard]] std::set<std::string> find_silent_zones(const fleet_record& fleet, const observations& observed,
                                                       timestamp now);
 
 /// Counts the capacity of every pool. A VM counts as available only when it is serving, listed as live,
 /// suspected by no entry and not in a silent zone. A VM with an outdated or uncertain state thus restricts
 /// planned steps. Pure.
 [[nodiscard]] availability_map measure_availability(const configuration& config, const fleet_record& fleet,
-                                                    const observations& seen, timestamp now);
+                                                    const observations& observed, timestamp now);
 
 /// Whether `count` more VMs of the pool may be made unavailable while `reserve` VMs above the promised number
 /// stay available.
--- a/policy/claims.cpp
+++ b/policy/claims.cpp
@@ -49,8 +49,8 @@
     remove_expired(now);
 }
 
-void claim_shard::find_last_line(const std::vector<claim_entry>& lines, const claim_key& key,
-                                 const claim_entry*& last) {
+void claim_shard::update_last_line(const std::vector<claim_entry>& lines, const claim_key& key,
+                                   const claim_entry*& last) {
     for (const claim_entry& line : lines) {
         if (line.key_high == key.first && line.key_low == key.second) {
             last = &line;
@@ -61,10 +61,10 @@
 claim_shard::claim_state claim_shard::check_claim(const claim_key& key, std::uint64_t nonce) const {
     const claim_entry* last = nullptr;
     for (const auto& [generation, closed] : m_closed) {
-        find_last_line(closed.lines, key, last);
+        update_last_line(closed.lines, key, last);
     }
-    find_last_line(m_open.previous, key, last);
-    find_last_line(m_open.lines, key, last);
+    update_last_line(m_open.previous, key, last);
+    update_last_line(m_open.lines, key, last);
     if (last == nullptr || last->released) {
         return claim_state::free;
     }
--- a/policy/claims.hpp
+++ b/policy/claims.hpp
@@ -111,8 +111,8 @@
         timestamp added_at{0};
     };
 
-    static void find_last_line(const std::vector<claim_entry>& lines, const claim_key& key,
-                               const claim_entry*& last);
+    static void update_last_line(const std::vector<claim_entry>& lines, const claim_key& key,
+                                 const claim_entry*& last);
 
     claim_log m_open;
     std::uint64_t m_version = 0;
--- a/policy/configuration.cpp
+++ b/policy/configuration.cpp
@@ -107,7 +107,7 @@
         wave.pool = object.text("pool");
         wave.order = object.number("order", {1, 4'000'000'000});
         wave.width = object.number_or("width", 1, {1, max_vms});
-        wave.drain_bound = milliseconds(object.number_or("drain_bound_ms", 60'000, {1, one_day_ms}));
+        wave.drain_overdue_after = milliseconds(object.number_or("drain_bound_ms", 60'000, {1, one_day_ms}));
         wave.paused = object.flag_or("paused", false);
         object.reject_unknown();
         m_config.waves[name] = wave;
--- a/policy/configuration.hpp
+++ b/policy/configuration.hpp
@@ -57,10 +57,11 @@
 
 /// A maintenance wave: every VM in scope is drained, maintained and returned once.
 struct wave_settings {
-    std::string pool;            ///< A pool, or "*" for every VM of the fleet.
-    std::int64_t order = 0;      ///< Identifies the wave in VM records; higher is newer.
-    std::int64_t width = 1;      ///< Maximum number of VMs that this wave keeps out of service at once.
-    milliseconds drain_bound{0}; ///< Time after which a drain is reported as overdue; it is never aborted.
+    std::string pool;       ///< A pool, or "*" for every VM of the fleet.
+    std::int64_t order = 0; ///< Identifies the wave in VM records; higher is newer.
+    std::int64_t width = 1; ///< Maximum number of VMs that this wave keeps out of service at once.
+    /// Time after which a drain is reported as overdue; it is never aborted.
+    milliseconds drain_overdue_after{0};
     bool paused = false;
 };
 
--- a/policy/entry_checks.cpp
+++ b/policy/entry_checks.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-const entry_report* find_report(const entry_record& entry, const observations& seen) {
-    const auto found = seen.entries.find(entry.id);
-    if (found == seen.entries.end() || found->second.incarnation != entry.incarnation) {
+const entry_report* find_report(const entry_record& entry, const observations& observed) {
+    const auto found = observed.entries.find(entry.id);
+    if (found == observed.entries.end() || found->second.incarnation != entry.incarnation) {
         return nullptr;
     }
     return &found->second;
@@ -14,10 +14,11 @@
 
 } // namespace
 
-entry_ids find_entries_behind(const fleet_record& fleet, const observations& seen, std::uint64_t revision) {
+entry_ids find_entries_behind(const fleet_record& fleet, const observations& observed,
+                              std::uint64_t revision) {
     entry_ids behind;
     for (const entry_record& entry : fleet.entries) {
-        const entry_report* report = find_report(entry, seen);
+        const entry_report* report = find_report(entry, observed);
         if (report == nullptr || report->applied_fleet < revision) {
             behind.push_back(entry.id);
         }
@@ -25,10 +26,10 @@
     return behind;
 }
 
-entry_ids find_busy_entries(const fleet_record& fleet, const observations& seen, const vm_record& vm) {
+entry_ids find_busy_entries(const fleet_record& fleet, const observations& observed, const vm_record& vm) {
     entry_ids busy;
     for (const entry_record& entry : fleet.entries) {
-        const entry_report* report = find_report(entry, seen);
+        const entry_report* report = find_report(entry, observed);
         if (report == nullptr || report->applied_fleet < vm.state_revision ||
             report->busy_vms.contains(vm.id)) {
             busy.push_back(entry.id);
@@ -37,9 +38,9 @@
     return busy;
 }
 
-bool is_entry_confirmed_gone(const entry_record& entry, const observations& seen, timestamp now) {
-    const auto found = seen.entries.find(entry.id);
-    if (found == seen.entries.end()) {
+bool is_entry_confirmed_gone(const entry_record& entry, const observations& observed, timestamp now) {
+    const auto found = observed.entries.find(entry.id);
+    if (found == observed.entries.end()) {
         return false;
     }
     const entry_report& report = found->second;
--- a/policy/entry_checks.hpp
+++ b/policy/entry_checks.hpp
@@ -16,12 +16,12 @@
 ///
 /// Covers entries that are frozen, partitioned or slow: their report is missing or old. Only a report by the
 /// entry itself and by the registered incarnation counts. Pure.
-[[nodiscard]] entry_ids find_entries_behind(const fleet_record& fleet, const observations& seen,
+[[nodiscard]] entry_ids find_entries_behind(const fleet_record& fleet, const observations& observed,
                                             std::uint64_t revision);
 
 /// Returns the registered entries that have requests in progress at `vm`, or whose latest report doesn't
 /// exclude this. Pure.
-[[nodiscard]] entry_ids find_busy_entries(const fleet_record& fleet, const observations& seen,
+[[nodiscard]] entry_ids find_busy_entries(const fleet_record& fleet, const observations& observed,
                                           const vm_record& vm);
 
 /// Time without a report after which an entry whose port refuses connections counts as gone.
@@ -31,7 +31,7 @@
 /// long as its process, even while the process is frozen, so a refused connection at the registered port
 /// proves that this incarnation has ended. A network partition shows as a timeout instead, which proves
 /// nothing. Pure.
-[[nodiscard]] bool is_entry_confirmed_gone(const entry_record& entry, const observations& seen,
+[[nodiscard]] bool is_entry_confirmed_gone(const entry_record& entry, const observations& observed,
                                            timestamp now);
 
 } // namespace siskinpaddle
--- a/policy/placement.cpp
+++ b/policy/placement.cpp
@@ -34,7 +34,7 @@
     placement_plan run() {
         collect_free_capacity();
         for (job_record& job : m_plan.next.jobs) {
-            follow_up_on_vm(job);
+            update_after_vm_change(job);
         }
         account_running_jobs();
         place_queued();
@@ -67,7 +67,7 @@
     }
 
     /// Updates a job whose VM is leaving, or whose task has ended together with its VM's epoch.
-    void follow_up_on_vm(job_record& job) {
+    void update_after_vm_change(job_record& job) {
         if (!may_be_running(job.state)) {
             return;
         }
@@ -103,12 +103,12 @@
             const job_size size = m_input.usage.planned_size(job);
             add_team_usage(job);
             if (const auto found = m_free_capacity.find(job.vm); found != m_free_capacity.end()) {
-                reserve(found->second, size);
+                deduct_capacity(found->second, size);
             }
         }
     }
 
-    static void reserve(free_capacity& capacity, const job_size& size) {
+    static void deduct_capacity(free_capacity& capacity, const job_size& size) {
         capacity.cpu -= size.cpu_millicores;
         capacity.memory -= size.memory_mb;
         capacity.accelerators -= size.accelerators;
@@ -255,7 +255,7 @@
         job.moves += !job.last_vm.empty() && job.last_vm != job.vm ? 1 : 0;
         ++job.epoch;
         job.reason.clear();
-        reserve(capacity, size);
+        deduct_capacity(capacity, size);
         add_team_usage(job);
         record_decision(job, "assigned epoch=" + std::to_string(job.epoch) + " rack=" + capacity.vm->rack);
     }
--- a/policy/planner.cpp
+++ b/policy/planner.cpp
@@ -13,17 +13,17 @@
     return options;
 }
 
-fleet_plan planner::step(const configuration& config, const fleet_record& fleet, const observations& seen,
+fleet_plan planner::step(const configuration& config, const fleet_record& fleet, const observations& observed,
                          timestamp now) {
-    return pass(*this, config, fleet, seen, now).run();
+    return pass(*this, config, fleet, observed, now).run();
 }
 
 planner::pass::pass(planner& parent, const configuration& config, const fleet_record& fleet,
-                    const observations& seen, timestamp now)
-    : m_parent(parent), m_config(config), m_fleet(fleet), m_observations(seen), m_now(now),
+                    const observations& observed, timestamp now)
+    : m_parent(parent), m_config(config), m_fleet(fleet), m_observations(observed), m_now(now),
       m_next_revision(fleet.revision + 1) {
     m_plan.next = fleet;
-    m_is_list_fresh = seen.is_list_known && now - seen.list_read_at <= max_list_age;
+    m_is_list_fresh = observed.is_list_known && now - observed.list_read_at <= max_list_age;
 }
 
 fleet_plan planner::pass::run() {
@@ -39,7 +39,7 @@
         advance(vm);
     }
     m_plan.pools = measure_availability(m_config, m_plan.next, m_observations, m_now);
-    if (check_planned_steps_allowed()) {
+    if (are_planned_steps_allowed()) {
         fill_pools();
         release_surplus();
         run_waves();
@@ -239,10 +239,10 @@
     }
 }
 
-bool planner::pass::is_in_state_for(const vm_record& vm, milliseconds bound) const {
+bool planner::pass::is_in_state_for(const vm_record& vm, milliseconds duration) const {
     const auto known = m_parent.m_states.find(vm.id);
     return known != m_parent.m_states.end() && known->second.revision == vm.state_revision &&
-           m_now - known->second.first_seen >= bound;
+           m_now - known->second.first_seen >= duration;
 }
 
 int planner::pass::count_tasks_on(const vm_record& vm) const {
--- a/policy/planner.hpp
+++ b/policy/planner.hpp
@@ -73,7 +73,7 @@
 
     /// Plans one step at time `now`. Preconditions: `config` has no findings; `now` never decreases.
     [[nodiscard]] fleet_plan step(const configuration& config, const fleet_record& fleet,
-                                  const observations& seen, timestamp now);
+                                  const observations& observed, timestamp now);
 
   private:
     class pass;
--- a/policy/planner_pass.hpp
+++ b/policy/planner_pass.hpp
@@ -12,8 +12,8 @@
 /// recorded before new planned steps are started.
 class planner::pass {
   public:
-    pass(planner& parent, const configuration& config, const fleet_record& fleet, const observations& seen,
-         timestamp now);
+    pass(planner& parent, const configuration& config, const fleet_record& fleet,
+         const observations& observed, timestamp now);
 
     fleet_plan run();
 
@@ -53,13 +53,13 @@
     void start_wave_maintenance(vm_record& vm, const wave_settings& wave);
     void record_budget_wait(const std::string& wave, const vm_record& vm);
 
-    [[nodiscard]] bool check_planned_steps_allowed();
+    [[nodiscard]] bool are_planned_steps_allowed();
     [[nodiscard]] std::int64_t count_held_vms(const std::string& pool) const;
     [[nodiscard]] std::int64_t target_size(const std::string& pool) const;
     [[nodiscard]] bool has_wave_remaining(const std::string& pool) const;
     [[nodiscard]] std::uint64_t newest_wave(const std::string& pool) const;
     [[nodiscard]] const listed_vm* find_listed_vm(const vm_record& vm) const;
-    [[nodiscard]] bool is_in_state_for(const vm_record& vm, milliseconds bound) const;
+    [[nodiscard]] bool is_in_state_for(const vm_record& vm, milliseconds duration) const;
     [[nodiscard]] bool is_suspected_by_own_zone(const vm_record& vm) const;
     [[nodiscard]] vm_record* find_best_free_vm(const std::string& pool);
     [[nodiscard]] vm_record* find_least_loaded_vm(const std::string& pool);
--- a/policy/planner_progress.cpp
+++ b/policy/planner_progress.cpp
@@ -74,7 +74,7 @@
     milliseconds overdue_after = 1min;
     for (const auto& [name, wave] : m_config.waves) {
         if (static_cast<std::uint64_t>(wave.order) == vm.active_wave) {
-            overdue_after = wave.drain_bound;
+            overdue_after = wave.drain_overdue_after;
         }
     }
     const std::string overdue = is_in_state_for(vm, overdue_after) ? "overdue: " : "";
--- a/policy/planner_steps.cpp
+++ b/policy/planner_steps.cpp
@@ -20,7 +20,7 @@
 
 } // namespace
 
-bool planner::pass::check_planned_steps_allowed() {
+bool planner::pass::are_planned_steps_allowed() {
     if (!m_observations.is_list_known) {
         record_wait("fleet", "the VM list is not known yet");
         return false;
--- a/tests/golden/session.cpp
+++ b/tests/golden/session.cpp
@@ -131,7 +131,7 @@
 
     void settle(std::istringstream&) { m_fleet_builder.complete_actions(m_plan); }
     void report(std::istringstream& words) { m_fleet_builder.report(next_word(words)); }
-    void unlist(std::istringstream& words) { m_fleet_builder.seen.listed_vms.erase(next_word(words)); }
+    void unlist(std::istringstream& words) { m_fleet_builder.observed.listed_vms.erase(next_word(words)); }
 
     void list(std::istringstream& words) {
         const std::string id = next_word(words);
@@ -141,36 +141,40 @@
     }
 
     void leaving(std::istringstream& words) {
-        m_fleet_builder.seen.listed_vms[next_word(words)].state = listing_state::leaving;
+        m_fleet_builder.observed.listed_vms[next_word(words)].state = listing_state::leaving;
+    }
+    void reboot(std::istringstream& words) {
+        ++m_fleet_builder.observed.listed_vms[next_word(words)].boot_count;
     }
-    void reboot(std::istringstream& words) { ++m_fleet_builder.seen.listed_vms[next_word(words)].boot_count; }
 
     void busy(std::istringstream& words) {
         const std::string entry = next_word(words);
-        m_fleet_builder.seen.entries[entry].busy_vms.insert(next_word(words));
+        m_fleet_builder.observed.entries[entry].busy_vms.insert(next_word(words));
     }
 
-    void idle(std::istringstream& words) { m_fleet_builder.seen.entries[next_word(words)].busy_vms.clear(); }
+    void idle(std::istringstream& words) {
+        m_fleet_builder.observed.entries[next_word(words)].busy_vms.clear();
+    }
 
     void suspect(std::istringstream& words) {
         const std::string entry = next_word(words);
-        m_fleet_builder.seen.entries[entry].suspect_vms.insert(next_word(words));
+        m_fleet_builder.observed.entries[entry].suspect_vms.insert(next_word(words));
     }
 
     void healthy(std::istringstream& words) {
         const std::string entry = next_word(words);
-        m_fleet_builder.seen.entries[entry].healthy_vms.insert(next_word(words));
+        m_fleet_builder.observed.entries[entry].healthy_vms.insert(next_word(words));
     }
 
     void gone(std::istringstream& words) {
-        m_fleet_builder.seen.entries[next_word(words)].has_process_ended = true;
+        m_fleet_builder.observed.entries[next_word(words)].has_process_ended = true;
     }
 
     /// stale-list SECONDS: a planning step without a new read of the VM list.
     void stale_list(std::istringstream& words) {
         m_fleet_builder.now += std::chrono::seconds(next_number(words));
         m_fleet_builder.report_all();
-        m_plan = m_planner.step(m_fleet_builder.config, m_fleet_builder.fleet, m_fleet_builder.seen,
+        m_plan = m_planner.step(m_fleet_builder.config, m_fleet_builder.fleet, m_fleet_builder.observed,
                                 m_fleet_builder.now);
         if (m_plan.changed) {
             m_fleet_builder.fleet = m_plan.next;
@@ -184,8 +188,8 @@
     /// the last step. Its compare-and-swap fails because the store holds a newer version of the record.
     void late_planner(std::istringstream&) {
         planner late;
-        const fleet_plan plan =
-            late.step(m_fleet_builder.config, m_previous_fleet, m_fleet_builder.seen, m_fleet_builder.now);
+        const fleet_plan plan = late.step(m_fleet_builder.config, m_previous_fleet, m_fleet_builder.observed,
+                                          m_fleet_builder.now);
         const bool can_swap = m_previous_fleet.revision == m_fleet_builder.fleet.revision;
         write_output("late planner plans revision " + std::to_string(plan.next.revision) +
                      ", the store has " + std::to_string(m_fleet_builder.fleet.revision) + ": its swap " +
@@ -225,10 +229,10 @@
         for (const placement_decision& item : plan.decisions) {
             write_output(item.job + " on " + (item.vm.empty() ? "-" : item.vm) + ": " + item.text);
         }
-        m_fleet_builder.seen.tasks.clear();
+        m_fleet_builder.observed.tasks.clear();
         for (const job_record& item : m_jobs.jobs) {
             if (may_be_running(item.state)) {
-                ++m_fleet_builder.seen.tasks[item.vm];
+                ++m_fleet_builder.observed.tasks[item.vm];
             }
         }
     }
--- a/tests/jobs/capacity_test.cpp
+++ b/tests/jobs/capacity_test.cpp
@@ -9,17 +9,17 @@
 
 /// A VM of four cores on which four tasks of one core run.
 struct full_vm {
-    scheduler_fixture bench;
+    scheduler_fixture fixture;
     std::vector<start_order> runs;
 
     full_vm() {
-        bench.add_vm("v1", cores);
-        bench.add_job("j", {scheduler_fixture::step(8)});
-        runs = bench.start_all();
+        fixture.add_vm("v1", cores);
+        fixture.add_job("j", {scheduler_fixture::step(8)});
+        runs = fixture.start_all();
     }
 
     void set_cores(std::int64_t present) {
-        bench.pool().add_or_update_vm(scheduler_fixture::info("v1", present));
+        fixture.pool().add_or_update_vm(scheduler_fixture::info("v1", present));
     }
 
     /// Reports the first `ended` runs as done and the others as active; returns the number of new starts.
@@ -34,9 +34,9 @@
                 alive.push_back(scheduler_fixture::running(runs[i]));
             }
         }
-        bench.advance_clock(10ms);
-        bench.report("v1", alive, ends);
-        const decisions wanted = bench.decide();
+        fixture.advance_clock(10ms);
+        fixture.report("v1", alive, ends);
+        const decisions wanted = fixture.decide();
         CHECK(wanted.stops.empty());
         return wanted.starts.size();
     }
--- a/tests/jobs/demand_peak_replay.hpp
+++ b/tests/jobs/demand_peak_replay.hpp
@@ -25,25 +25,25 @@
         add_vm("v2");
     }
 
-    scheduler_fixture& bench() { return m_bench; }
+    scheduler_fixture& fixture() { return m_fixture; }
 
     void add_vm(const std::string& name) {
-        m_bench.add_vm(name);
+        m_fixture.add_vm(name);
         m_vms.push_back(name);
     }
 
     /// Advances by one step in which `jobs` jobs are submitted.
     void advance(int jobs) {
-        m_bench.advance_clock(100ms);
+        m_fixture.advance_clock(100ms);
         for (int i = 0; i < jobs; ++i) {
             submit("j" + std::to_string(m_result.submitted++));
         }
         for (const std::string& vm : m_vms) {
             report(vm);
         }
-        m_bench.store_changes();
-        for (const start_order& order : m_bench.start_all()) {
-            m_running.emplace_back(m_bench.now(), order);
+        m_fixture.store_changes();
+        for (const start_order& order : m_fixture.start_all()) {
+            m_running.emplace_back(m_fixture.now(), order);
         }
         record_completed();
     }
@@ -61,12 +61,12 @@
 
     void submit(const std::string& id) {
         const job_record record = scheduler_fixture::record(id, {scheduler_fixture::step(8)});
-        if (!m_bench.pool().check_admission(record.spec).accepted) {
+        if (!m_fixture.pool().check_admission(record.spec).accepted) {
             ++m_refused;
             return;
         }
-        m_bench.add_job(id, record.spec.steps);
-        m_accepted[id] = m_bench.now();
+        m_fixture.add_job(id, record.spec.steps);
+        m_accepted[id] = m_fixture.now();
     }
 
     void report(const std::string& vm) {
@@ -77,22 +77,22 @@
             if (order.vm != vm) {
                 return false;
             }
-            if (m_bench.now() - began < 1000ms) {
+            if (m_fixture.now() - began < 1000ms) {
                 alive.push_back(scheduler_fixture::running(order));
                 return false;
             }
             ended.push_back(scheduler_fixture::end(++m_sequences[vm], order, run_end::done));
             return true;
         });
-        m_bench.report(vm, alive, ended);
+        m_fixture.report(vm, alive, ended);
     }
 
     void record_completed() {
         std::erase_if(m_accepted, [&](const auto& item) {
-            if (m_bench.pool().phase_of(item.first) != job_phase::completed) {
+            if (m_fixture.pool().phase_of(item.first) != job_phase::completed) {
                 return false;
             }
-            const milliseconds took = m_bench.now() - item.second;
+            const milliseconds took = m_fixture.now() - item.second;
             ++(took <= objective       ? m_result.in_time
                : took <= 3 * objective ? m_result.late
                                        : m_result.too_late);
@@ -100,7 +100,7 @@
         });
     }
 
-    scheduler_fixture m_bench;
+    scheduler_fixture m_fixture;
     std::vector<std::string> m_vms;
     std::map<std::string, timestamp> m_accepted; ///< Jobs not done yet -> when accepted.
     std::vector<std::pair<timestamp, start_order>> m_running;
--- a/tests/jobs/faulty_tasks_test.cpp
+++ b/tests/jobs/faulty_tasks_test.cpp
@@ -169,39 +169,39 @@
          at_moments({5000ms}, [](replay_ref r, std::size_t) { lose_rack(r, "r1", 9000ms, true); })},
         {"racks one after the other", busy,
          at_moments({4000ms, 8000ms, 12'000ms, 16'000ms},
-                    [](replay_ref r, std::size_t turn) {
-                        lose_rack(r, "r" + std::to_string(turn), 3500ms, false);
+                    [](replay_ref r, std::size_t index) {
+                        lose_rack(r, "r" + std::to_string(index), 3500ms, false);
                     })},
         {"half of the pool", busy,
          at_moments({5000ms, 10'000ms},
-                    [](replay_ref r, std::size_t turn) {
-                        lose_rack(r, "r" + std::to_string(2 * turn), 3500ms, false);
-                        lose_rack(r, "r" + std::to_string(2 * turn + 1), 3500ms, false);
+                    [](replay_ref r, std::size_t index) {
+                        lose_rack(r, "r" + std::to_string(2 * index), 3500ms, false);
+                        lose_rack(r, "r" + std::to_string(2 * index + 1), 3500ms, false);
                     })},
         {"a VM each second", busy,
-         at_moments(each_second, [](replay_ref r, std::size_t turn) { r.crash_vm(turn % 16, 3500ms); })},
+         at_moments(each_second, [](replay_ref r, std::size_t index) { r.crash_vm(index % 16, 3500ms); })},
         {"the same two VMs again and again", busy,
          at_moments(each_four_seconds,
                     [](replay_ref r, std::size_t) { r.crash_vm(0, 2000ms), r.crash_vm(1, 2500ms); })},
         {"VMs that never return", busy,
          at_moments({5000ms, 6000ms, 7000ms},
-                    [](replay_ref r, std::size_t turn) { r.crash_vm(turn, 300'000ms); })},
+                    [](replay_ref r, std::size_t index) { r.crash_vm(index, 300'000ms); })},
         {"VMs that are drained and leave", busy,
          at_moments({4000ms, 6000ms, 8000ms, 10'000ms},
-                    [](replay_ref r, std::size_t turn) {
-                        turn % 2 == 0 ? r.drain_vm(turn) : r.crash_vm(turn - 1, 3500ms);
+                    [](replay_ref r, std::size_t index) {
+                        index % 2 == 0 ? r.drain_vm(index) : r.crash_vm(index - 1, 3500ms);
                     })},
         {"VMs that are only unresponsive, past their lease", busy,
          at_moments({5000ms, 7000ms},
-                    [](replay_ref r, std::size_t turn) {
-                        r.make_unreachable(turn, 8000ms), r.make_unreachable(turn + 4, 8000ms);
+                    [](replay_ref r, std::size_t index) {
+                        r.make_unreachable(index, 8000ms), r.make_unreachable(index + 4, 8000ms);
                     })},
         {"a VM each two seconds, and owners that die", busy,
          at_moments(each_second,
-                    [](replay_ref r, std::size_t turn) {
-                        turn % 4 == 3   ? r.kill_owner(takeover_gap)
-                        : turn % 2 == 0 ? r.crash_vm(turn % 16, 3500ms)
-                                        : void();
+                    [](replay_ref r, std::size_t index) {
+                        index % 4 == 3   ? r.kill_owner(takeover_gap)
+                        : index % 2 == 0 ? r.crash_vm(index % 16, 3500ms)
+                                         : void();
                     })},
     };
     for (const row& item : rows) {
--- a/tests/jobs/order_test.cpp
+++ b/tests/jobs/job_admission_test.cpp
@@ -90,13 +90,14 @@
     };
     const auto run_replay = [](std::size_t obtainable) {
         demand_peak_replay replay;
-        replay.bench().pool().set_expected_vms(0, obtainable);
+        replay.fixture().pool().set_expected_vms(0, obtainable);
         for (int step = 0; step < 120; ++step) {
             if (step == machines_arrive_at) {
                 for (int i = 0; i < 6; ++i) {
                     replay.add_vm("w" + std::to_string(i));
                 }
-                replay.bench().pool().set_expected_vms(0, obtainable - std::min<std::size_t>(obtainable, 6));
+                replay.fixture().pool().set_expected_vms(0,
+                                                         obtainable - std::min<std::size_t>(obtainable, 6));
             }
             // 25 jobs of eight core-seconds per second.
             replay.advance(step < peak_ends_at ? 2 + step % 2 : 0);
--- a/tests/jobs/pace_test.cpp
+++ b/tests/jobs/pace_test.cpp
@@ -9,7 +9,7 @@
 struct shared_vm_fixture {
     scheduler_fixture b;
     start_order serving;
-    start_order leftover;
+    start_order best_effort;
 
     shared_vm_fixture() {
         b.add_vm("v1");
@@ -22,7 +22,7 @@
         b.add_job("s", {first});
         serving = b.start_all().at(0);
         b.add_job("l", {second});
-        leftover = b.start_all().at(0);
+        best_effort = b.start_all().at(0);
     }
 
     /// Reports the serving task's tail latency; returns the pace ordered for the best-effort task, or -1 if
@@ -31,7 +31,7 @@
         b.advance_clock(400ms);
         running_report report = scheduler_fixture::running(serving);
         report.usage = ms;
-        b.report("v1", {report, scheduler_fixture::running(leftover)});
+        b.report("v1", {report, scheduler_fixture::running(best_effort)});
         const decisions wanted = b.decide();
         return wanted.paces.empty() ? -1 : wanted.paces.front().percent;
     }
--- a/tests/jobs/scheduler_test.cpp
+++ b/tests/jobs/scheduler_test.cpp
@@ -273,7 +273,7 @@
     // Guards against a gang that takes twice as long as expected: its members are placed on the fullest VMs,
     // which are on two racks, although one rack has free capacity for all of them.
     struct layout {
-        const char* story;
+        const char* name;
         std::int64_t cores_of_b; // Rack a: 2 + 1 cores; rack b: this many on one VM.
         const char* data_rack;
         const char* expected; // The rack of all starts.
@@ -285,7 +285,7 @@
         {"the data's rack is too small", 2, "b", "a"},
     };
     for (const layout& item : layouts) {
-        INFO(item.story);
+        INFO(item.name);
         scheduler_fixture b;
         b.add_vm_on_rack("a", "v1", 2);
         b.add_vm_on_rack("b", "v2", item.cores_of_b);
--- a/tests/jobs/work_gauge_test.cpp
+++ b/tests/jobs/work_gauge_test.cpp
@@ -101,7 +101,7 @@
         std::uint32_t tasks = 0;
         std::uint32_t per_vm = 0;
         std::int64_t memory_mb = 0;
-        std::uint64_t least_vms = 0;
+        std::uint64_t min_vms = 0;
     };
     int number = 0;
     std::map<std::string, std::int64_t> sequences;
@@ -116,7 +116,7 @@
         const std::string id = "s" + std::to_string(number++);
         b.add_job(id, {step});
         const std::vector<start_order> starts = b.start_all();
-        CHECK(b.pool().demand(b.now()).min_vms == item.least_vms);
+        CHECK(b.pool().demand(b.now()).min_vms == item.min_vms);
         b.pool().cancel(id, b.now());
         std::map<std::string, std::vector<end_report>> ended;
         for (const start_order& order : starts) {
--- a/tests/node/fleet_test.cpp
+++ b/tests/node/fleet_test.cpp
@@ -48,7 +48,7 @@
 }
 
 /// The demand that a pool's owner reports at a demand peak: far more than its two VMs can hold.
-node::peer_answer surge_demand() {
+node::peer_answer peak_demand() {
     node::peer_answer answer = node::make_answer(node::peer_outcome::ok);
     answer.demand.need_millicores = 64'000;
     answer.demand.retained_millicores = 64'000;
@@ -108,7 +108,7 @@
     std::unique_ptr<node::membership_task> membership;
     const auto ask_pool = [&](const node::peer_request& request, const node::peer_server::reply& done) {
         if (request.pool == "p") {
-            answers.push_back(loop.make_timer([done] { done(surge_demand()); }));
+            answers.push_back(loop.make_timer([done] { done(peak_demand()); }));
             answers.back()->start(delays.owner);
         } else if (delays.other_owner) {
             done(node::make_answer(node::peer_outcome::ok));
--- a/tests/policy/fleet_builder.hpp
+++ b/tests/policy/fleet_builder.hpp
@@ -12,14 +12,14 @@
 struct fleet_builder {
     configuration config;
     fleet_record fleet;
-    observations seen;
+    observations observed;
     timestamp now{1'000};
 
     fleet_builder() {
         config.number = 1;
         config.members["m"] = {std::string(64, '0'), true};
         fleet.revision = 10;
-        seen.is_list_known = true;
+        observed.is_list_known = true;
     }
 
     fleet_builder& pool(const std::string& name, std::int64_t promised, std::int64_t size) {
@@ -63,7 +63,7 @@
 
     /// Records a heartbeat of the entry that reports the current revision as applied.
     void report(const std::string& id) {
-        entry_report& item = seen.entries[id];
+        entry_report& item = observed.entries[id];
         item.incarnation = 7;
         item.applied_config = config.number;
         item.applied_fleet = fleet.revision;
@@ -87,15 +87,15 @@
         item.cores = record.cores;
         item.memory_mb = record.memory_mb;
         item.boot_count = record.boot_count;
-        seen.listed_vms[id] = item;
+        observed.listed_vms[id] = item;
     }
 
     /// Runs one planning step `later` milliseconds after the last one, with a newly read list, and applies
     /// the plan.
     fleet_plan step(planner& planning, milliseconds later = 1s) {
         now += later;
-        seen.list_read_at = now;
-        fleet_plan plan = planning.step(config, fleet, seen, now);
+        observed.list_read_at = now;
+        fleet_plan plan = planning.step(config, fleet, observed, now);
         if (plan.changed) {
             fleet = plan.next;
         }
@@ -106,9 +106,9 @@
     /// VMs pass their health check.
     void complete_actions(const fleet_plan& plan) {
         for (const reboot_action& action : plan.reboots) {
-            seen.listed_vms[action.vm].boot_count = fleet.find_vm(action.vm)->boot_count + 1;
+            observed.listed_vms[action.vm].boot_count = fleet.find_vm(action.vm)->boot_count + 1;
         }
-        for (auto& [id, item] : seen.entries) {
+        for (auto& [id, item] : observed.entries) {
             item.healthy_vms.clear();
             for (const vm_record& vm : fleet.vms) {
                 if (vm.state == vm_state::returning) {
--- a/tests/policy/planner_test.cpp
+++ b/tests/policy/planner_test.cpp
@@ -54,7 +54,7 @@
     REQUIRE(b.state("w1") == vm_state::cordoned);
     b.report("e1");
     for (int i = 0; i < 20; ++i) {
-        b.seen.entries["e2"].received_at = b.now;
+        b.observed.entries["e2"].received_at = b.now;
         const fleet_plan plan = b.step(planning);
         b.report("e1");
         REQUIRE(b.state("w1") == vm_state::cordoned);
@@ -75,7 +75,7 @@
     b.complete_actions(b.step(planning));
     REQUIRE(b.state("w1") == vm_state::draining);
     b.report_all();
-    b.seen.entries["e1"].busy_vms.insert("w1");
+    b.observed.entries["e1"].busy_vms.insert("w1");
     for (int i = 0; i < 70; ++i) {
         const fleet_plan plan = b.step(planning);
         b.report_all();
@@ -83,7 +83,7 @@
         REQUIRE(plan.reboots.empty());
         REQUIRE(has_wait(plan, "vm w1", i < 61 ? "requests in progress at entries: e1" : "overdue"));
     }
-    b.seen.entries["e1"].busy_vms.clear();
+    b.observed.entries["e1"].busy_vms.clear();
     b.step(planning);
     CHECK(b.state("w1") == vm_state::drained);
 }
@@ -110,9 +110,9 @@
         planner planning;
         b.now = 100s;
         b.report_all();
-        b.seen.entries["e2"].received_at = b.now + 1s - r.silence;
-        b.seen.entries["e2"].has_process_ended = r.refused;
-        b.seen.entries["e2"].incarnation = r.incarnation;
+        b.observed.entries["e2"].received_at = b.now + 1s - r.silence;
+        b.observed.entries["e2"].has_process_ended = r.refused;
+        b.observed.entries["e2"].incarnation = r.incarnation;
         if (r.by_operator) {
             b.config.removed_entries.insert("e2@7");
         }
@@ -128,12 +128,15 @@
         void (*add_doubt)(fleet_builder&);
     };
     const std::vector<row> rows{
-        {"an entry suspects a VM", [](fleet_builder& b) { b.seen.entries["e2"].suspect_vms.insert("w3"); }},
-        {"a VM is unlisted", [](fleet_builder& b) { b.seen.listed_vms.erase("w3"); }},
-        {"a VM is leaving", [](fleet_builder& b) { b.seen.listed_vms["w3"].state = listing_state::leaving; }},
+        {"an entry suspects a VM",
+         [](fleet_builder& b) { b.observed.entries["e2"].suspect_vms.insert("w3"); }},
+        {"a VM is unlisted", [](fleet_builder& b) { b.observed.listed_vms.erase("w3"); }},
+        {"a VM is leaving",
+         [](fleet_builder& b) { b.observed.listed_vms["w3"].state = listing_state::leaving; }},
         {"a zone is silent",
-         [](fleet_builder& b) { b.seen.entries["e2"].received_at = timestamp{0} - 1min; }},
-        {"a VM restarted without an order", [](fleet_builder& b) { b.seen.listed_vms["w3"].boot_count = 5; }},
+         [](fleet_builder& b) { b.observed.entries["e2"].received_at = timestamp{0} - 1min; }},
+        {"a VM restarted without an order",
+         [](fleet_builder& b) { b.observed.listed_vms["w3"].boot_count = 5; }},
     };
     for (const row& r : rows) {
         CAPTURE(r.description);
@@ -155,11 +158,11 @@
     planner planning;
     b.complete_actions(b.step(planning));
     REQUIRE(b.state("w1") == vm_state::cordoned);
-    const timestamp read = b.seen.list_read_at;
+    const timestamp read = b.observed.list_read_at;
     b.now += 20s;
     b.report_all();
-    fleet_plan plan = planning.step(b.config, b.fleet, b.seen, b.now);
-    REQUIRE(b.seen.list_read_at == read);
+    fleet_plan plan = planning.step(b.config, b.fleet, b.observed, b.now);
+    REQUIRE(b.observed.list_read_at == read);
     CHECK(plan.next.find_vm("w1")->state == vm_state::draining);
     CHECK(has_wait(plan, "fleet", "VM list is older"));
 }
@@ -203,7 +206,7 @@
     planner planning;
     b.complete_actions(b.step(planning));
     REQUIRE(b.state("w1") == vm_state::cordoned);
-    b.seen.listed_vms.erase("w2");
+    b.observed.listed_vms.erase("w2");
     for (int i = 0; i < 900; ++i) { // Longer than the replacement delay of a lost VM.
         const fleet_plan plan = b.step(planning);
         REQUIRE_FALSE(plan.pools.at("p").breached());
@@ -222,12 +225,12 @@
 TEST_CASE("a breach caused by failures is reported and no planned step increases it") {
     fleet_builder b = two_pools();
     b.wave("spring", "*", 1, 3);
-    b.seen.entries["e1"].suspect_vms = {"w2", "w3"};
+    b.observed.entries["e1"].suspect_vms = {"w2", "w3"};
     planner planning;
     for (int i = 0; i < 30; ++i) {
         const fleet_plan plan = b.step(planning);
         b.report("e2");
-        b.seen.entries["e1"].received_at = b.now;
+        b.observed.entries["e1"].received_at = b.now;
         REQUIRE(plan.pools.at("p").breached());
         REQUIRE(b.state("w1") == vm_state::serving);
         REQUIRE(b.state("w2") == vm_state::serving);
@@ -243,7 +246,7 @@
         b.report_all(); // The platform never performs the reboot.
     }
     REQUIRE(b.state("w1") == vm_state::in_maintenance);
-    b.seen.listed_vms.erase("w1");
+    b.observed.listed_vms.erase("w1");
     b.step(planning, 16min);
     CHECK(b.state("w1") == vm_state::lost);
     b.run(planning, 700);
@@ -257,7 +260,7 @@
     planner_options options;
     options.replacement_delay = 0ms;
     planner planning(options);
-    b.seen.listed_vms.erase("w2");
+    b.observed.listed_vms.erase("w2");
     b.step(planning);
     b.report("e1");
     b.step(planning, 11s);
@@ -268,10 +271,10 @@
         REQUIRE(b.pool_of("w2") == "p");
     }
     b.report_all();
-    b.seen.tasks["w2"] = 1;
+    b.observed.tasks["w2"] = 1;
     b.step(planning);
     CHECK(b.pool_of("w2") == "p");
-    b.seen.tasks.clear();
+    b.observed.tasks.clear();
     b.report_all();
     b.step(planning);
     CHECK(b.pool_of("w2").empty());
@@ -303,13 +306,13 @@
     b.pool("p", 1, 4).entry("e1").entry("e2", "b");
     for (const char* id : {"w1", "w2", "w3", "w4"}) {
         b.vm(id, "p");
-        b.seen.entries["e1"].suspect_vms.insert(id);
+        b.observed.entries["e1"].suspect_vms.insert(id);
     }
     planner planning;
     const fleet_plan plan = b.step(planning);
     CHECK(count_serving(b, "p") == 4);
     CHECK(has_wait(plan, "zone a", "not believed"));
-    b.seen.entries["e1"].suspect_vms = {"w2"};
+    b.observed.entries["e1"].suspect_vms = {"w2"};
     b.step(planning);
     CHECK(b.state("w2") == vm_state::lost);
 }
@@ -355,12 +358,12 @@
     b.complete_actions(b.step(planning));
     b.complete_actions(b.step(planning));
     REQUIRE(b.state("w1") == vm_state::draining);
-    b.seen.entries["e2"].suspect_vms = {"w3"};
+    b.observed.entries["e2"].suspect_vms = {"w3"};
     const fleet_plan plan = b.step(planning);
     CHECK(b.state("w1") == vm_state::serving);
     CHECK(b.fleet.find_vm("w1")->active_wave == 0);
     CHECK(plan.reboots.empty());
-    b.seen.entries["e2"].suspect_vms.clear();
+    b.observed.entries["e2"].suspect_vms.clear();
     b.run(planning);
     CHECK(b.fleet.find_vm("w1")->completed_wave == 1);
 }
--- a/tests/soak/invariant_checks_test.cpp
+++ b/tests/soak/invariant_checks_test.cpp
@@ -195,7 +195,7 @@
                         0,
                         0,
                         {run_of("j0.0.0.0", "v", 11'000, 0), run_of("j0.0.0.1", "w", 9000, 9500, "crashed")}},
-             count_case{"completed", {ended}, 0, 0, {run_of("j0.0.0.0", "v", 2000, 3000)}},
+             count_case{"ended", {ended}, 0, 0, {run_of("j0.0.0.0", "v", 2000, 3000)}},
          }) {
         INFO(std::string(item.what));
         const std::vector<reported_count> reported{{0, sent, answered, item.reported}};
