--- a/node/siskinpaddle_node.cpp
+++ b/node/siskinpaddle_node.cpp
@@ -44,12 +44,12 @@
     try {
         TCLAP::CmdLine line(
             "siskinpaddle node process: accepts clients' jobs, and manages pools and the fleet while it "
-            "holds their duties. Exit codes: 0 good, 1 failed, 2 bad settings.",
+            "holds their duties. Exit codes: 0 success, 1 failure, 2 invalid settings.",
             ' ', SISKINPADDLE_VERSION);
         TCLAP::ValueArg<std::string> file("s", "settings", "Settings file (JSON).", true, "", "FILE", line);
         TCLAP::ValueArg<std::string> level("l", "log-level", "debug, info, warning or error.", false, "info",
                                            "LEVEL", line);
-        TCLAP::SwitchArg check("", "check", "Only check the settings and print every finding.", line);
+        TCLAP::SwitchArg check("", "check", "Check the settings, print all findings and exit.", line);
         line.parse(argc, argv);
         const auto min_level = value_named<event_level>(level.getValue());
         if (!min_level) {
