--- a/jobs/scheduler.hpp
+++ b/jobs/scheduler.hpp
@@ -227,7 +227,7 @@
     void finish_job(job_state& job, job_phase phase, timestamp now);
 
     // VMs that end while running tasks.
-    void process_vm_end(const vm_end& end, end_certainty certainty, timestamp now);
+    void evaluate_vm_end(const vm_end& end, end_certainty certainty, timestamp now);
     void record_unresponsive_vms(timestamp now);
     [[nodiscard]] bool is_part_of_mass_loss(const vm_end& end) const;
     void add_crash_evidence(const task_id& id, const crash_evidence& evidence, timestamp now);
--- a/jobs/scheduler_runs.cpp
+++ b/jobs/scheduler_runs.cpp
@@ -260,7 +260,7 @@
         }
     }
     vm.set_orphans({});
-    process_vm_end(
+    evaluate_vm_end(
         end, cause == vm_end_cause::lease_expired ? end_certainty::lease_expired : end_certainty::ended, now);
 }
 
--- a/jobs/scheduler_suspects.cpp
+++ b/jobs/scheduler_suspects.cpp
@@ -29,7 +29,7 @@
 
 // --- Evidence ---
 
-void scheduler::process_vm_end(const vm_end& end, end_certainty certainty, timestamp now) {
+void scheduler::evaluate_vm_end(const vm_end& end, end_certainty certainty, timestamp now) {
     if (end.cause == vm_end_cause::ordered) {
         process_unresponsive_vm_response(end.vm, now); // The order made the VM unresponsive.
         return;
@@ -60,8 +60,8 @@
         const bool unresponsive =
             !vm.reachable && vm.has_responded() && now - vm.unresponsive_since() >= unresponsive_record_delay;
         if (unresponsive && !vm.has_no_runs() && !m_unresponsive_vms.contains(name)) {
-            process_vm_end(describe_end(vm, vm_end_cause::lease_expired, now), end_certainty::unresponsive,
-                           now);
+            evaluate_vm_end(describe_end(vm, vm_end_cause::lease_expired, now), end_certainty::unresponsive,
+                            now);
         }
     }
 }
