--- a/jobs/balance.cpp
+++ b/jobs/balance.cpp
@@ -81,7 +81,7 @@
             continue;
         }
         account.add_machine(machine);
-        if (load->hosts_long_running) {
+        if (load->hosts_long_lived) {
             continue;
         }
         if (load->is_idle) {
@@ -121,7 +121,7 @@
     }
     classify_machines(account, demand, machines);
     const auto hosts = static_cast<std::size_t>(std::ranges::count_if(
-        demand.vms, [](const vm_load& vm) { return vm.is_usable && vm.hosts_long_running; }));
+        demand.vms, [](const vm_load& vm) { return vm.is_usable && vm.hosts_long_lived; }));
     account.min_vms = std::max({settings.min_vms, hosts, static_cast<std::size_t>(demand.min_vms)});
     account.wanted = std::max(account.min_vms, vms_needed(demand.need_millicores, each, settings));
     account.retained = std::max(account.wanted, vms_needed(demand.retained_millicores, each, settings));
--- a/jobs/balance.hpp
+++ b/jobs/balance.hpp
@@ -16,12 +16,12 @@
     bool is_usable = false; ///< It accepts new runs.
     bool is_idle = false;   ///< No run is or may become active there, and the ends of all runs are stored.
     bool released = false;  ///< It is kept empty, and after a takeover the new owner would not wait for it.
-    bool hosts_long_running = false; ///< It runs long-running tasks.
+    bool hosts_long_lived = false; ///< It runs long-lived tasks.
     std::int64_t used_millicores = 0;
 
     template <typename Archive>
     void serialize(Archive& archive) {
-        archive(vm, is_usable, is_idle, released, hosts_long_running, used_millicores);
+        archive(vm, is_usable, is_idle, released, hosts_long_lived, used_millicores);
     }
 };
 
@@ -45,7 +45,7 @@
     /// Further capacity for accepted work that is late. Served only from machines that no pool needs for work
     /// that can still finish in time.
     std::int64_t late_millicores = 0;
-    /// Minimum number of VMs for the long-running tasks: a step may limit how many of its tasks share a VM,
+    /// Minimum number of VMs for the long-lived tasks: a step may limit how many of its tasks share a VM,
     /// however small the tasks are.
     std::uint64_t min_vms = 0;
     std::vector<label_demand> labels; ///< Included in the totals above.
--- a/jobs/job.hpp
+++ b/jobs/job.hpp
@@ -65,18 +65,18 @@
     std::string data_rack;        ///< Rack of the step's data; empty: none.
     std::uint32_t max_per_vm = 0; ///< Maximum number of tasks of the step on one VM; 0: unlimited.
     bool speculative = false;     ///< Two runs of one task may overlap.
-    bool long_running = false;    ///< Runs until the job is cancelled; restarted however a run ends.
+    bool long_lived = false;      ///< Runs until the job is cancelled; restarted however a run ends.
     std::string image;
     std::int64_t target_tail_latency_ms = 0; ///< Bound on the tail latency of a serving task, ms; 0: none.
     /// Runs on processor time that other tasks leave idle; its processor need doesn't count against capacity.
     bool best_effort = false;
-    /// Maximum number of tasks of a long-running step that may be kept unavailable at once; 0: unlimited.
+    /// Maximum number of tasks of a long-lived step that may be kept unavailable at once; 0: unlimited.
     std::uint32_t disruption_budget = 0;
 
     template <typename Archive>
     void serialize(Archive& archive) {
         archive(count, need, estimate_ms, after, checkpointed, gang, same_rack, required_label, data_rack,
-                max_per_vm, speculative, long_running, image, target_tail_latency_ms, best_effort,
+                max_per_vm, speculative, long_lived, image, target_tail_latency_ms, best_effort,
                 disruption_budget);
     }
 };
@@ -92,9 +92,9 @@
     std::int64_t start_at_ms = 0; ///< Time of day of the first occurrence, ms since 1970.
     std::int64_t period_ms = 0;
 
-    [[nodiscard]] bool is_long_running() const noexcept {
+    [[nodiscard]] bool is_long_lived() const noexcept {
         for (const step_spec& step : steps) {
-            if (step.long_running) {
+            if (step.long_lived) {
                 return true;
             }
         }
--- a/jobs/job_admission.cpp
+++ b/jobs/job_admission.cpp
@@ -59,7 +59,7 @@
     job_rank rank;
     rank.priority = queue.priority;
     rank.objective_at = objective_of(job, queue, begins_at);
-    if (job.spec().is_long_running()) {
+    if (job.spec().is_long_lived()) {
         rank.group = 0;
         return rank;
     }
@@ -76,14 +76,14 @@
     if (!sustained_millicores) {
         return need_millicores;
     }
-    return std::min(need_millicores, long_running_millicores + *sustained_millicores);
+    return std::min(need_millicores, long_lived_millicores + *sustained_millicores);
 }
 
 /// Capacity for waiting work, with `extra_millicores` in addition to the VMs that accept work now. Late work
 /// keeps its share: if all capacity were promised to new jobs, accepted jobs that have become late would
 /// never be done.
 std::int64_t pool_load::millicores_for_waiting_work(std::int64_t extra_millicores) const noexcept {
-    const std::int64_t capacity = usable_millicores - long_running_millicores + extra_millicores;
+    const std::int64_t capacity = usable_millicores - long_lived_millicores + extra_millicores;
     const std::int64_t available = std::min(capacity, sustained_millicores.value_or(capacity));
     const auto max_late = static_cast<std::int64_t>(static_cast<double>(available) * late_work_share);
     return std::max<std::int64_t>(1, available - std::min(max_late, late_millicores()));
@@ -124,7 +124,7 @@
     return std::min(ahead, max_rate_growth * recent) / span_ms;
 }
 
-void demand_meter::update(std::int64_t wanted, std::int64_t long_running, timestamp now) {
+void demand_meter::update(std::int64_t wanted, std::int64_t long_lived, timestamp now) {
     std::erase_if(m_arrivals, [&](const auto& item) { return now - item.second.at > 2 * trend_span; });
     double rate = 0;
     for (const auto& [job, item] : m_arrivals) {
@@ -134,7 +134,7 @@
     m_current_need = static_cast<double>(wanted);
     if (m_arrivals.size() >= min_arrivals) {
         m_current_need =
-            std::max(m_current_need, std::max(rate, projected_rate(now)) + static_cast<double>(long_running));
+            std::max(m_current_need, std::max(rate, projected_rate(now)) + static_cast<double>(long_lived));
     }
     const double passed = static_cast<double>((now - m_updated_at).count());
     m_smoothed_need = std::max(m_current_need, m_current_need + (m_smoothed_need - m_current_need) *
@@ -145,7 +145,7 @@
 admission_verdict admit(const job_spec& spec, const queue_settings& queue, std::int64_t critical_path_ms,
                         const pool_load& load) {
     const milliseconds queue_time = load.queue_wait();
-    if (spec.is_long_running() || spec.has_due_times) {
+    if (spec.is_long_lived() || spec.has_due_times) {
         return {true, 0ms, queue_time};
     }
     if (load.usable_millicores <= 0) {
--- a/jobs/job_admission.hpp
+++ b/jobs/job_admission.hpp
@@ -10,7 +10,7 @@
 
 /// Rank of a job among the jobs that wait for capacity; smaller ranks are placed first.
 struct job_rank {
-    /// 0: long-running jobs, which are few and are of use from the moment they run. 1: jobs that can still
+    /// 0: long-lived jobs, which are few and are of use from the moment they run. 1: jobs that can still
     /// meet their objective. 2: jobs that have missed their objective. 3: jobs too late to be useful, which
     /// only fill idle capacity.
     int group = 1;
@@ -43,9 +43,9 @@
     std::int64_t upcoming_work = 0; ///< Work of occurrences that become due within machine_lead_time.
     /// Work of accepted jobs that are late; it ranks after a new job, but is done.
     std::int64_t late_work = 0;
-    std::int64_t usable_millicores = 0;       ///< Capacity of the VMs that accept work.
-    std::int64_t used_millicores = 0;         ///< Capacity of these VMs that runs use.
-    std::int64_t long_running_millicores = 0; ///< The part of `used_millicores` that long-running tasks use.
+    std::int64_t usable_millicores = 0;     ///< Capacity of the VMs that accept work.
+    std::int64_t used_millicores = 0;       ///< Capacity of these VMs that runs use.
+    std::int64_t long_lived_millicores = 0; ///< The part of `used_millicores` that long-lived tasks use.
     std::size_t usable_vms = 0;
     /// Capacity that the owner can keep busy. Set only while the owner's link or processor limits the rate of
     /// starts; VMs beyond this capacity would be idle.
@@ -85,9 +85,9 @@
   public:
     /// Records a submitted job, accepted or refused; `work` in millicore-milliseconds.
     void record_arrival(const std::string& job, std::int64_t work, timestamp now);
-    /// `wanted`: capacity that running and waiting work would use now; `long_running`: the part of it that
-    /// long-running tasks use in addition to any arriving work; both in millicores.
-    void update(std::int64_t wanted, std::int64_t long_running, timestamp now);
+    /// `wanted`: capacity that running and waiting work would use now; `long_lived`: the part of it that
+    /// long-lived tasks use in addition to any arriving work; both in millicores.
+    void update(std::int64_t wanted, std::int64_t long_lived, timestamp now);
     /// Capacity needed now, millicores: for present work or for recently arrived work, whichever needs more.
     [[nodiscard]] std::int64_t current_need() const noexcept {
         return static_cast<std::int64_t>(m_current_need);
@@ -120,7 +120,7 @@
 
 /// Accepts a job if it can meet its objective behind the waiting work, so that accepted work finishes in time
 /// and other jobs are refused at once with a retry delay. If everything were accepted while demand exceeds
-/// the pool's capacity, all jobs would end late. Long-running jobs are always accepted; they need capacity,
+/// the pool's capacity, all jobs would end late. Long-lived jobs are always accepted; they need capacity,
 /// not a position in the queue.
 ///
 /// While there are machines that no pool wants, a job that will be late is accepted as well if it will still
--- a/jobs/maintenance.cpp
+++ b/jobs/maintenance.cpp
@@ -75,12 +75,12 @@
     const std::size_t concurrency =
         std::min(wave.max_concurrent, wave_concurrency(wave, remaining.size(), maintenance_time, now));
     const std::size_t free = down < concurrency ? concurrency - down : 0;
-    // Machines with long-running tasks take longest to evacuate, and evacuating them takes no capacity from
+    // Machines with long-lived tasks take longest to evacuate, and evacuating them takes no capacity from
     // other tasks. A machine that is being evacuated keeps its place: if each briefly idle machine went
     // first, the evacuation of a busy machine would be restarted repeatedly and the wave would end late.
     std::ranges::stable_sort(remaining, [](const wave_machine* a, const wave_machine* b) {
-        return std::tuple(a->kept_empty, a->evacuating, a->is_idle, a->hosts_long_running) >
-               std::tuple(b->kept_empty, b->evacuating, b->is_idle, b->hosts_long_running);
+        return std::tuple(a->kept_empty, a->evacuating, a->is_idle, a->hosts_long_lived) >
+               std::tuple(b->kept_empty, b->evacuating, b->is_idle, b->hosts_long_lived);
     });
     for (const wave_machine* machine : remaining) {
         if (machine->is_up && machine->kept_empty && step.to_maintain.size() < free) {
--- a/jobs/maintenance.hpp
+++ b/jobs/maintenance.hpp
@@ -15,13 +15,13 @@
 struct wave_machine {
     std::string machine;
     std::string pool;
-    std::string vm;                  ///< Incarnation of the VM that it runs; empty if it runs none.
-    bool is_up = true;               ///< It is running, and neither being moved nor in maintenance.
-    bool in_maintenance = false;     ///< It is down for maintenance, or may be by a previous owner's order.
-    bool kept_empty = false;         ///< Nothing runs there, and its pool's owner starts nothing there.
-    bool is_idle = false;            ///< Nothing runs there at present.
-    bool evacuating = false;         ///< Its pool's owner is already evacuating it.
-    bool hosts_long_running = false; ///< It runs long-running tasks.
+    std::string vm;                ///< Incarnation of the VM that it runs; empty if it runs none.
+    bool is_up = true;             ///< It is running, and neither being moved nor in maintenance.
+    bool in_maintenance = false;   ///< It is down for maintenance, or may be by a previous owner's order.
+    bool kept_empty = false;       ///< Nothing runs there, and its pool's owner starts nothing there.
+    bool is_idle = false;          ///< Nothing runs there at present.
+    bool evacuating = false;       ///< Its pool's owner is already evacuating it.
+    bool hosts_long_lived = false; ///< It runs long-lived tasks.
 };
 
 /// Maintenance of a machine that was ordered and is not known to be finished.
--- a/jobs/placement.cpp
+++ b/jobs/placement.cpp
@@ -103,7 +103,7 @@
                               far,
                               vm.has_other_suspects(task.job),
                               vm.consecutive_failures(),
-                              !vm.hosts_long_running(),
+                              !vm.hosts_long_lived(),
                               -utilization(vm, need)};
         if (best == nullptr || cost < best_cost) {
             best = &vm;
@@ -126,8 +126,7 @@
             continue;
         }
         const bool far = !preferred_rack.empty() && preferred_rack != vm.info().rack;
-        const std::tuple cost{vm.has_other_suspects(task.job), vm.hosts_long_running(), far,
-                              vm.tasks().size()};
+        const std::tuple cost{vm.has_other_suspects(task.job), vm.hosts_long_lived(), far, vm.tasks().size()};
         if (best == nullptr || cost < best_cost) {
             best = &vm;
             best_cost = cost;
@@ -140,7 +139,7 @@
                                const placement_settings& settings, const step_advice* advice, timestamp now) {
     const step_spec& step = job.spec().steps[task.step];
     resources available = vm.info().capacity;
-    available -= vm.long_running_used();
+    available -= vm.long_lived_used();
     return reserved_resources(step).fits_in(available) && accepts_step(vm, step, task, settings, now) &&
            is_allowed(advice, vm.info().incarnation, now);
 }
--- a/jobs/placement.hpp
+++ b/jobs/placement.hpp
@@ -21,7 +21,7 @@
 };
 
 /// Chooses the VM for one task among those that can host it; VMs on which the task has failed are the last
-/// resort. VMs that host long-running tasks are filled first, then the VM with the highest utilization that
+/// resort. VMs that host long-lived tasks are filled first, then the VM with the highest utilization that
 /// has enough free capacity. Packing runs this way leaves whole VMs idle, so that they can be moved to other
 /// pools, and the loss of a VM affects fewer jobs. Returns null if no VM can host the task.
 /// `advice`: the policy service's answers if the queue's policy allows only some VMs, else null.
@@ -38,7 +38,7 @@
                                               const std::string& preferred_rack, bool allow_new_vm,
                                               timestamp now);
 
-/// Whether the VM could host the task once all its runs except long-running ones have ended.
+/// Whether the VM could host the task once all its runs except long-lived ones have ended.
 [[nodiscard]] bool can_host_after_short_runs(const vm_state& vm, const job_state& job, const task_id& task,
                                              const placement_settings& settings, const step_advice* advice,
                                              timestamp now);
--- a/jobs/scheduler.cpp
+++ b/jobs/scheduler.cpp
@@ -75,7 +75,7 @@
         if (vm.listed && vm.reachable && !vm.cordoned && !vm.info().draining) {
             load.usable_millicores += vm.info().capacity.cpu_millicores;
             load.used_millicores += m_work_gauge.equivalent_millicores(vm.used());
-            load.long_running_millicores += m_work_gauge.equivalent_millicores(vm.long_running_used());
+            load.long_lived_millicores += m_work_gauge.equivalent_millicores(vm.long_lived_used());
             ++load.usable_vms;
             largest = std::max(largest, vm.info().capacity.cpu_millicores);
         }
@@ -89,7 +89,7 @@
 pool_demand scheduler::demand(timestamp now) {
     pool_demand result;
     const pool_load present = load();
-    m_demand_meter.update(present.wanted_millicores(), present.long_running_millicores, now);
+    m_demand_meter.update(present.wanted_millicores(), present.long_lived_millicores, now);
     const std::int64_t need = present.limit_to_sustained(m_demand_meter.current_need());
     const std::int64_t with_late = present.limit_to_sustained(need + present.late_millicores());
     const auto scale_to_full_capacity = [factor = shrink_factor()](std::int64_t millicores) {
@@ -99,7 +99,7 @@
     result.retained_millicores =
         scale_to_full_capacity(present.limit_to_sustained(m_demand_meter.smoothed_need()));
     result.late_millicores = scale_to_full_capacity(std::max<std::int64_t>(0, with_late - need));
-    result.min_vms = vms_for_long_running(present.usable_vms);
+    result.min_vms = vms_for_long_lived(present.usable_vms);
     if (m_isolation_lacks_vm) {
         result.min_vms = std::max<std::uint64_t>(result.min_vms, present.usable_vms + 1);
     }
@@ -110,7 +110,7 @@
         item.is_usable =
             vm.listed && vm.reachable && vm.has_responded() && !vm.info().draining && !vm.is_quarantined(now);
         item.is_idle = is_releasable(name);
-        item.hosts_long_running = vm.hosts_long_running();
+        item.hosts_long_lived = vm.hosts_long_lived();
         item.used_millicores = m_work_gauge.equivalent_millicores(vm.used());
         result.vms.push_back(std::move(item));
     }
@@ -135,20 +135,20 @@
     return std::min(max_shrink_factor, static_cast<double>(largest) / static_cast<double>(now));
 }
 
-/// Number of VMs that would let all waiting long-running tasks run: the usable VMs, and as many more as the
+/// Number of VMs that would let all waiting long-lived tasks run: the usable VMs, and as many more as the
 /// step with the largest shortage needs. Counts VMs, not capacity: a step of 25 tasks of which two may share
 /// a VM needs 13. By capacity, the pool would request one VM at a time, each after the previous one has
 /// arrived; the last task of a job that is accepted 7 s before its traffic would start 41 s into it.
 /// Meanwhile no maintenance could move a task of the job, since the tasks that have never started use up its
 /// disruption budget.
-std::uint64_t scheduler::vms_for_long_running(std::size_t usable_vms) const {
+std::uint64_t scheduler::vms_for_long_lived(std::size_t usable_vms) const {
     const auto each = static_cast<std::uint64_t>(
         std::max<std::int64_t>(1, m_work_gauge.largest_vm_capacity().cpu_millicores));
     std::uint64_t missing = 0;
     std::uint64_t waiting_millicores = 0;
     for (const auto& item : m_jobs) {
         const job_state& job = item.second;
-        if (is_final(job.phase()) || job.total_idle_tasks() == 0 || !job.spec().is_long_running()) {
+        if (is_final(job.phase()) || job.total_idle_tasks() == 0 || !job.spec().is_long_lived()) {
             continue;
         }
         job.for_each_step([&](step_position position) {
@@ -183,8 +183,8 @@
             const std::uint32_t idle = job.idle_tasks(position);
             const std::int64_t each = m_work_gauge.equivalent_millicores(reserved_resources(step));
             const std::int64_t waiting =
-                step.long_running ? idle * each
-                                  : estimate_work(step, idle, job.spec().queue, m_work_gauge) / drain_time_ms;
+                step.long_lived ? idle * each
+                                : estimate_work(step, idle, job.spec().queue, m_work_gauge) / drain_time_ms;
             wanted[step.required_label] += (job.unfinished_tasks(position) - idle) * each + waiting;
         });
     }
@@ -192,7 +192,7 @@
 }
 
 void scheduler::record_job_arrival(const job_spec& spec, timestamp now) {
-    if (spec.is_long_running() || spec.has_due_times) {
+    if (spec.is_long_lived() || spec.has_due_times) {
         return;
     }
     m_demand_meter.record_arrival(spec.id, estimate_job_work(spec, m_work_gauge), now);
--- a/jobs/scheduler.hpp
+++ b/jobs/scheduler.hpp
@@ -28,7 +28,7 @@
     milliseconds takeover_timeout = 12s;
     milliseconds max_stop_time = 1s; ///< A stopped run ends within this time; its VM lists it until then.
     milliseconds stop_retry_interval = 600ms; ///< A stop without an answer is sent again after this interval.
-    /// A VM with this many runs that aren't long-running is polled frequently.
+    /// A VM with this many runs that aren't long-lived is polled frequently.
     std::size_t frequent_poll_runs = 3;
     /// Attempt numbers of one owner; those of its successor are higher.
     std::uint32_t attempts_per_epoch = 1000;
@@ -266,7 +266,7 @@
     void place_waiting_tasks(timestamp now);
     void measure_waiting_work(timestamp now);
     void add_waiting_work(const job_state& job, std::uint32_t occurrence);
-    [[nodiscard]] std::uint64_t vms_for_long_running(std::size_t usable_vms) const;
+    [[nodiscard]] std::uint64_t vms_for_long_lived(std::size_t usable_vms) const;
     [[nodiscard]] std::map<std::string, std::int64_t> wanted_by_label(timestamp now) const;
     void place_step(job_state& job, step_position position, timestamp now);
     bool place_task(job_state& job, const task_id& id, std::uint32_t attempt,
@@ -309,7 +309,7 @@
     std::string m_last_suspect_job;         ///< Job of the suspected task that was started last.
     timestamp m_last_suspect_started_at{0}; ///< When the last suspected task was started.
     bool m_has_suspect_marks = false;       ///< VMs are marked as running suspected tasks.
-    bool m_isolation_lacks_vm = false;      ///< A task to be isolated finds no VM without long-running tasks.
+    bool m_isolation_lacks_vm = false;      ///< A task to be isolated finds no VM without long-lived tasks.
     start_window m_start_window;
     /// Set while starts are held back; as of the last decision.
     std::optional<std::int64_t> m_sustained_millicores;
--- a/jobs/scheduler_decide.cpp
+++ b/jobs/scheduler_decide.cpp
@@ -111,7 +111,7 @@
                     now - item.stop_sent_at >= m_settings.stop_retry_interval) {
                     stop_run(id, item, now);
                 }
-                const bool stuck = item.phase == run_phase::running && !step.long_running && !step.gang &&
+                const bool stuck = item.phase == run_phase::running && !step.long_lived && !step.gang &&
                                    vm.reachable && now - item.progress_at >= stuck_after &&
                                    vm.last_response_at() > item.progress_at + stuck_after / 2;
                 if (stuck) {
@@ -143,10 +143,10 @@
             if (item.vm != name || item.phase != run_phase::running) {
                 continue;
             }
-            if (!step.long_running && (!step.checkpointed || item.percent >= nearly_done_percent)) {
+            if (!step.long_lived && (!step.checkpointed || item.percent >= nearly_done_percent)) {
                 continue; // The run ends soon.
             }
-            const bool budgeted = step.long_running && step.disruption_budget > 0;
+            const bool budgeted = step.long_lived && step.disruption_budget > 0;
             if (budgeted && unavailable_tasks(job, {id.occurrence, id.step}, now) >= step.disruption_budget) {
                 continue; // Evacuated once other tasks of its step are available again.
             }
@@ -318,12 +318,12 @@
     item.start_deadline = vm->lease_deadline(now, m_settings.start_timeout);
     vm->record_granted_deadline(item.start_deadline);
     const step_spec& step = job.spec().steps[id.step];
-    vm->add_task(id, reserved_resources(step), step.long_running);
+    vm->add_task(id, reserved_resources(step), step.long_lived);
     const std::string ticket = advice == nullptr ? std::string() : *advice->find_ticket(item.vm, now);
     m_pending_decisions.starts.push_back(
         {item.vm, id, attempt, item.start_deadline, job.task(id).checkpoint, ticket});
     m_start_window.record_sent(id, attempt, job.spec().payload.size(),
-                               step.long_running ? 0 : estimate_work(step, 1, job.spec().queue, m_work_gauge),
+                               step.long_lived ? 0 : estimate_work(step, 1, job.spec().queue, m_work_gauge),
                                now);
     job.add_run(id, std::move(item));
     return true;
--- a/jobs/scheduler_runs.cpp
+++ b/jobs/scheduler_runs.cpp
@@ -10,7 +10,7 @@
     job.remove_run(id, attempt, vm, now);
     if (const auto found = m_vms.find(vm); found != m_vms.end()) {
         const step_spec& step = job.spec().steps[id.step];
-        found->second.remove_task(id, reserved_resources(step), step.long_running);
+        found->second.remove_task(id, reserved_resources(step), step.long_lived);
     }
 }
 
@@ -39,8 +39,8 @@
 void scheduler::process_done(job_state& job, const task_id& id, timestamp now) {
     const step_spec& step = job.spec().steps[id.step];
     clear_suspicion(job, id, "done");
-    if (step.long_running) {
-        return; // A long-running task runs until it is cancelled: however it ends, it is started again.
+    if (step.long_lived) {
+        return; // A long-lived task runs until it is cancelled: however it ends, it is started again.
     }
     const auto finish_task = [&](const task_id& item) {
         clear_suspicion(job, item, "done");
@@ -69,7 +69,7 @@
 void scheduler::process_failure(job_state& job, const task_id& id, std::uint32_t attempt, vm_state& vm,
                                 timestamp now) {
     const step_spec& step = job.spec().steps[id.step];
-    if (step.long_running) {
+    if (step.long_lived) {
         return;
     }
     const task_id counted = step.gang ? job.id_of({id.occurrence, id.step}, 0) : id;
@@ -150,7 +150,7 @@
                               (!task.runs.empty() && !job.spec().steps[item.task.step].speculative);
         run& added = job.add_run(item.task, std::move(adopted));
         const step_spec& step = job.spec().steps[item.task.step];
-        vm.add_task(item.task, reserved_resources(step), step.long_running);
+        vm.add_task(item.task, reserved_resources(step), step.long_lived);
         add_note(unwanted ? "stop-surplus-run" : "run-adopted", incarnation, &item.task, item.attempt);
         if (unwanted) {
             stop_run(item.task, added, now);
--- a/jobs/scheduler_suspects.cpp
+++ b/jobs/scheduler_suspects.cpp
@@ -10,7 +10,7 @@
 /// A suspected task that has waited this long for capacity on VMs that already run suspected tasks may start
 /// on another VM even if max_vms_at_risk() is reached.
 constexpr milliseconds spread_delay = 1500ms;
-/// Time that a task to be isolated waits for a VM without long-running tasks; machines arrive within it.
+/// Time that a task to be isolated waits for a VM without long-lived tasks; machines arrive within it.
 constexpr milliseconds isolation_timeout = 2500ms;
 /// Runs on a VM that has been unresponsive for this long are recorded in the store, so that the record
 /// survives the owner.
@@ -363,7 +363,7 @@
         if (!fits || !can_host_after_short_runs(vm, job, id, m_settings.placement, advice, now)) {
             continue;
         }
-        const std::tuple cost{vm.hosts_long_running(), unproven_runs_of_other_jobs(vm, name, now),
+        const std::tuple cost{vm.hosts_long_lived(), unproven_runs_of_other_jobs(vm, name, now),
                               vm.tasks().size()};
         if (best == nullptr || cost < best_cost) {
             best = &vm;
@@ -373,7 +373,7 @@
     if (best == nullptr) {
         return nullptr;
     }
-    if (!kept && best->hosts_long_running() && now - job.task(id).idle_since < isolation_timeout) {
+    if (!kept && best->hosts_long_lived() && now - job.task(id).idle_since < isolation_timeout) {
         m_isolation_lacks_vm = true;
         return nullptr;
     }
--- a/jobs/scheduler_vms.cpp
+++ b/jobs/scheduler_vms.cpp
@@ -154,10 +154,10 @@
         }
         if (item->phase == run_phase::starting) {
             item->phase = run_phase::unconfirmed;
-            // A stop resolves the run soonest. A long-running task that did start is serving its users,
+            // A stop resolves the run soonest. A long-lived task that did start is serving its users,
             // though, and a stop would make it unavailable: its run is resolved by a report after the start's
             // deadline.
-            if (!job->second.spec().steps[order.task.step].long_running) {
+            if (!job->second.spec().steps[order.task.step].long_lived) {
                 stop_run(order.task, *item, now);
             }
         }
@@ -250,11 +250,11 @@
         const step_spec& step = job.spec().steps[id.step];
         serving = serving || step.target_tail_latency_ms > 0;
         best_effort = best_effort || step.best_effort;
-        short_runs += step.long_running ? 0 : 1;
+        short_runs += step.long_lived ? 0 : 1;
         for (const run& item : job.task(id).runs) {
             if (item.vm == name &&
                 (item.phase == run_phase::unconfirmed || item.phase == run_phase::stopping ||
-                 (step.long_running && item.percent < 100))) {
+                 (step.long_lived && item.percent < 100))) {
                 return true;
             }
         }
--- a/jobs/vm_state.cpp
+++ b/jobs/vm_state.cpp
@@ -57,25 +57,25 @@
            lease_expiry_margin;
 }
 
-void vm_state::add_task(const task_id& task, const resources& need, bool long_running) {
+void vm_state::add_task(const task_id& task, const resources& need, bool long_lived) {
     m_tasks.insert(task);
     m_used += need;
-    if (long_running) {
-        ++m_long_running_count;
-        m_long_running_used += need;
+    if (long_lived) {
+        ++m_long_lived_count;
+        m_long_lived_used += need;
     }
 }
 
-void vm_state::remove_task(const task_id& task, const resources& need, bool long_running) {
+void vm_state::remove_task(const task_id& task, const resources& need, bool long_lived) {
     const auto found = m_tasks.find(task);
     if (found == m_tasks.end()) {
         return;
     }
     m_tasks.erase(found);
     m_used -= need;
-    if (long_running) {
-        --m_long_running_count;
-        m_long_running_used -= need;
+    if (long_lived) {
+        --m_long_lived_count;
+        m_long_lived_used -= need;
     }
 }
 
--- a/jobs/vm_state.hpp
+++ b/jobs/vm_state.hpp
@@ -53,9 +53,9 @@
     [[nodiscard]] timestamp lease_expires_at() const;
 
     [[nodiscard]] bool has_run(const task_id& task) const { return m_tasks.contains(task); }
-    void add_task(const task_id& task, const resources& need, bool long_running);
-    void remove_task(const task_id& task, const resources& need, bool long_running);
-    [[nodiscard]] bool hosts_long_running() const noexcept { return m_long_running_count > 0; }
+    void add_task(const task_id& task, const resources& need, bool long_lived);
+    void remove_task(const task_id& task, const resources& need, bool long_lived);
+    [[nodiscard]] bool hosts_long_lived() const noexcept { return m_long_lived_count > 0; }
     [[nodiscard]] const std::multiset<task_id>& tasks() const noexcept { return m_tasks; }
     /// Whether suspected tasks of jobs other than `job` run there.
     [[nodiscard]] bool has_other_suspects(const std::string& job) const {
@@ -73,8 +73,8 @@
     [[nodiscard]] std::vector<orphan_run>& orphans() noexcept { return m_orphans; }
     [[nodiscard]] resources free_capacity() const;
     [[nodiscard]] const resources& used() const noexcept { return m_used; }
-    /// Resources used by long-running tasks.
-    [[nodiscard]] const resources& long_running_used() const noexcept { return m_long_running_used; }
+    /// Resources used by long-lived tasks.
+    [[nodiscard]] const resources& long_lived_used() const noexcept { return m_long_lived_used; }
 
     /// Records a successful run, which resets the count of consecutive failures.
     void record_success();
@@ -106,8 +106,8 @@
     std::multiset<task_id> m_tasks;
     std::vector<orphan_run> m_orphans;
     resources m_used;
-    resources m_long_running_used;
-    int m_long_running_count = 0;
+    resources m_long_lived_used;
+    int m_long_lived_count = 0;
     int m_consecutive_failures = 0;
     timestamp m_quarantined_until{0};
 };
--- a/jobs/work_gauge.hpp
+++ b/jobs/work_gauge.hpp
@@ -44,7 +44,7 @@
 /// Work of `tasks` tasks of the step, millicore-milliseconds.
 [[nodiscard]] std::int64_t estimate_work(const step_spec& step, std::uint32_t tasks, const std::string& queue,
                                          const work_gauge& gauge);
-/// Work of a whole job, millicore-milliseconds. Long-running tasks count as no work.
+/// Work of a whole job, millicore-milliseconds. Long-lived tasks count as no work.
 [[nodiscard]] std::int64_t estimate_job_work(const job_spec& spec, const work_gauge& gauge);
 
 /// Work in tasks that have no run yet, millicore-milliseconds.
--- a/node/fleet_maintenance.cpp
+++ b/node/fleet_maintenance.cpp
@@ -10,14 +10,14 @@
 std::map<std::string, jobs::wave_machine> fleet_task::maintenance_view() const {
     std::map<std::string, jobs::wave_machine> view;
     std::set<std::string> idle_vms;
-    std::set<std::string> long_running_vms;
+    std::set<std::string> long_lived_vms;
     for (const auto& [pool, demand] : m_demands) {
         for (const jobs::vm_load& vm : demand.vms) {
             if (vm.is_idle) {
                 idle_vms.insert(vm.vm);
             }
-            if (vm.hosts_long_running) {
-                long_running_vms.insert(vm.vm);
+            if (vm.hosts_long_lived) {
+                long_lived_vms.insert(vm.vm);
             }
         }
     }
@@ -33,7 +33,7 @@
         const bool is_spare = info.pool == spare_pool();
         item.kept_empty = is_spare || m_empty_vms.contains(info.incarnation);
         item.is_idle = is_spare || idle_vms.contains(info.incarnation);
-        item.hosts_long_running = long_running_vms.contains(info.incarnation);
+        item.hosts_long_lived = long_lived_vms.contains(info.incarnation);
         item.evacuating = m_vms_asked_to_evacuate.contains(info.incarnation);
         view[name] = std::move(item);
     }
--- a/soak/invariant_checks.cpp
+++ b/soak/invariant_checks.cpp
@@ -243,7 +243,7 @@
     std::vector<std::string> result;
     for (const auto& [id, job] : jobs) {
         const bool ended = job.faulty ? job.failed : job.completed;
-        const bool is_finished = job.long_running ? job.cancelled != timestamp(0) : job.cancel_sent || ended;
+        const bool is_finished = job.long_lived ? job.cancelled != timestamp(0) : job.cancel_sent || ended;
         if (job.accepted != timestamp(0) && !is_finished) {
             result.push_back(id);
         }
--- a/soak/invariant_checks.hpp
+++ b/soak/invariant_checks.hpp
@@ -16,7 +16,7 @@
 /// What clients observed of one job.
 struct job_history {
     std::uint32_t tasks = 0;
-    bool long_running = false;     ///< Its tasks run until the job is cancelled.
+    bool long_lived = false;       ///< Its tasks run until the job is cancelled.
     bool faulty = false;           ///< Its first task crashes each VM on which it starts.
     bool failed = false;           ///< An answer showed the job as failed.
     bool may_run = false;          ///< A submit succeeded or has an unknown outcome.
@@ -96,7 +96,7 @@
 /// after the next version, which lacks that queue, came into force. Pure; thread-safe.
 [[nodiscard]] bool shows_older_configuration(const configuration_probe& probe) noexcept;
 /// Returns accepted jobs that are neither cancelled nor shown as finished: completed, or failed for a faulty
-/// job. A long-running job counts until its cancellation is confirmed, others until a cancellation is sent.
+/// job. A long-lived job counts until its cancellation is confirmed, others until a cancellation is sent.
 [[nodiscard]] std::vector<std::string> unfinished_jobs(const std::map<std::string, job_history>& jobs);
 /// Returns runs that have not ended although the cancellation of their job was confirmed.
 [[nodiscard]] std::vector<std::string> runs_left_after_cancel(const std::map<std::string, job_history>& jobs,
--- a/soak/load_generator.cpp
+++ b/soak/load_generator.cpp
@@ -29,13 +29,13 @@
 constexpr std::uint32_t cancel_one_in = 8;
 /// One job in so many runs until it is cancelled. Together these jobs use a sixth of the capacity of four
 /// VMs.
-constexpr std::uint32_t long_running_one_in = 24;
+constexpr std::uint32_t long_lived_one_in = 24;
 /// One job in so many has a task that crashes each VM on which it starts.
 constexpr std::uint64_t faulty_one_in = 60;
 constexpr std::uint64_t faulty_seed = 0xfa;
-/// Longer than an owner's lease, so that a takeover of the pool occurs while most long-running jobs are
+/// Longer than an owner's lease, so that a takeover of the pool occurs while most long-lived jobs are
 /// running.
-constexpr milliseconds long_running_duration = 4s;
+constexpr milliseconds long_lived_duration = 4s;
 /// Time after a job's acceptance within which each node that answers for the job's pool must know the job.
 constexpr milliseconds visible_within = 3s;
 constexpr int ok = 200;
@@ -47,13 +47,13 @@
 
 std::string encode_body(const job_history& job) {
     jobs::job_spec spec;
-    spec.payload = job.long_running ? std::string(fakes::task_vm::long_running_payload) : std::string("s");
+    spec.payload = job.long_lived ? std::string(fakes::task_vm::long_lived_payload) : std::string("s");
     if (job.faulty) {
         spec.payload = fakes::task_vm::crash_payload(0);
     }
     spec.steps.resize(1);
     spec.steps[0].count = job.tasks;
-    spec.steps[0].long_running = job.long_running;
+    spec.steps[0].long_lived = job.long_lived;
     spec.steps[0].need = {500, 64, 0};
     spec.steps[0].estimate_ms = 500;
     return platform::encode_job(spec);
@@ -111,7 +111,7 @@
     m_timer->start(iteration_interval);
     ++m_iterations;
     if (m_submitting) {
-        submit_new_job(m_random() % long_running_one_in == 0);
+        submit_new_job(m_random() % long_lived_one_in == 0);
         for (std::uint64_t i = 1; is_in_burst() && i < jobs_per_burst_iteration; ++i) {
             submit_new_job(false);
         }
@@ -124,7 +124,7 @@
             query_count(node);
         }
     }
-    cancel_long_running();
+    cancel_long_lived();
     // Queries one random unfinished job in each iteration, so that each job is queried repeatedly.
     std::vector<std::string> open = unfinished_jobs(m_jobs);
     if (!open.empty()) {
@@ -146,13 +146,13 @@
     return std::ranges::none_of(m_jobs, [](const auto& item) { return item.second.submit_in_flight; });
 }
 
-void load_generator::submit_new_job(bool long_running) {
+void load_generator::submit_new_job(bool long_lived) {
     std::ostringstream id;
     id << std::hex << std::setw(16) << std::setfill('0') << m_random();
     job_history& job = m_jobs[id.str()];
     job.tasks = 1 + static_cast<std::uint32_t>(m_random() % max_tasks);
-    job.long_running = long_running;
-    job.faulty = !long_running && m_submitting && m_faulty_random() % faulty_one_in == 0;
+    job.long_lived = long_lived;
+    job.faulty = !long_lived && m_submitting && m_faulty_random() % faulty_one_in == 0;
     job.submitted = event_loop::now();
     submit(id.str(), 1);
 }
@@ -171,7 +171,7 @@
     if (answered && answer.code == ok) {
         job.may_run = true;
         job.accepted = job.accepted == timestamp(0) ? event_loop::now() : job.accepted;
-        if (!job.long_running && m_random() % cancel_one_in == 0) {
+        if (!job.long_lived && m_random() % cancel_one_in == 0) {
             cancel(id);
         }
         return;
@@ -195,13 +195,13 @@
     });
 }
 
-/// Cancels long-running jobs that have run long enough, or all of them once no more jobs are submitted.
+/// Cancels long-lived jobs that have run long enough, or all of them once no more jobs are submitted.
 /// Retries until the cancellation is confirmed.
-void load_generator::cancel_long_running() {
+void load_generator::cancel_long_lived() {
     for (const auto& [id, job] : m_jobs) {
         const bool has_run_long_enough =
-            event_loop::now() - job.accepted >= long_running_duration || !m_submitting;
-        const bool open = job.long_running && job.accepted != timestamp(0) && job.cancelled == timestamp(0);
+            event_loop::now() - job.accepted >= long_lived_duration || !m_submitting;
+        const bool open = job.long_lived && job.accepted != timestamp(0) && job.cancelled == timestamp(0);
         if (open && has_run_long_enough && !job.cancel_in_flight) {
             cancel(id);
         }
--- a/soak/load_generator.hpp
+++ b/soak/load_generator.hpp
@@ -15,9 +15,9 @@
 
     /// Starts submitting jobs periodically.
     void start();
-    /// Stops submitting jobs. Accepted jobs are still queried, and long-running ones are cancelled.
+    /// Stops submitting jobs. Accepted jobs are still queried, and long-lived ones are cancelled.
     void stop_submitting() { m_submitting = false; }
-    /// Immediately submits more jobs than the VMs can start within seconds. None of them is long-running.
+    /// Immediately submits more jobs than the VMs can start within seconds. None of them is long-lived.
     void submit_burst();
 
     [[nodiscard]] const std::map<std::string, job_history>& jobs() const noexcept { return m_jobs; }
@@ -40,7 +40,7 @@
     };
 
     void run_iteration();
-    void submit_new_job(bool long_running);
+    void submit_new_job(bool long_lived);
     [[nodiscard]] bool is_in_burst() const;
     void submit(const std::string& id, std::uint32_t attempt);
     void process_submit_answer(const std::string& id, std::uint32_t attempt, const http_answer& answer);
@@ -48,7 +48,7 @@
     /// `was_shown_failed`: the job had been shown as failed before this query was sent.
     void process_job_answer(const std::string& id, bool was_shown_failed, const http_answer& answer);
     void cancel(const std::string& id);
-    void cancel_long_running();
+    void cancel_long_lived();
     void query_count(std::uint32_t node);
     void probe_configuration(std::uint32_t node);
     void process_probe_answer(std::uint32_t node, std::int64_t version, observed_configuration previous,
--- a/soak/soak.cpp
+++ b/soak/soak.cpp
@@ -221,7 +221,7 @@
             add_problem(item);
         }
         const auto had_contact = [this](const vm_run& item) {
-            return m_cluster.had_contact(item.run.fencing_token, item.run.started_at, contact_time);
+            return m_cluster.had_contact(item.run.token, item.run.started_at, contact_time);
         };
         for (const std::string& item :
              check_crashes(m_load_generator.jobs(), m_cluster.runs(), had_contact)) {
--- a/tests/fakes/task_vm.cpp
+++ b/tests/fakes/task_vm.cpp
@@ -148,7 +148,7 @@
     m_lease_until = std::max(m_lease_until, number(body, wire::deadline));
     m_highest_attempts[task] = attempt;
     const std::string payload(body.at(wire::payload).as_string());
-    const bool long_running = payload == long_running_payload;
+    const bool long_lived = payload == long_lived_payload;
     if (is_crash_payload(payload, task)) {
         m_crashes_at = std::min(m_crashes_at.value_or(timestamp::max()), event_loop::now() + crash_delay);
     }
@@ -158,7 +158,7 @@
                       timestamp(0),
                       {},
                       timestamp(0),
-                      long_running,
+                      long_lived,
                       number(body, wire::fencing_token)});
     return {};
 }
@@ -240,7 +240,7 @@
             finish(i, "lapsed");
         } else if (m_failing) {
             finish(i, "failed");
-        } else if (!m_runs[i].long_running && event_loop::now() - m_runs[i].started_at >= m_run_time) {
+        } else if (!m_runs[i].long_lived && event_loop::now() - m_runs[i].started_at >= m_run_time) {
             finish(i, "done");
         }
     }
--- a/tests/fakes/task_vm.hpp
+++ b/tests/fakes/task_vm.hpp
@@ -26,13 +26,13 @@
         timestamp started_at{0};
         timestamp ended_at{0}; ///< 0: still running.
         std::string outcome;
-        timestamp acknowledged{0};      ///< When the end was acknowledged; 0: not yet.
-        bool long_running = false;      ///< Runs until it is stopped.
-        std::int64_t fencing_token = 0; ///< Fencing token of its start.
+        timestamp acknowledged{0}; ///< When the end was acknowledged; 0: not yet.
+        bool long_lived = false;   ///< Runs until it is stopped.
+        std::int64_t token = 0;    ///< Fencing token of its start.
     };
 
     /// Payload of jobs whose tasks run until they are stopped.
-    static constexpr std::string_view long_running_payload = "runs until it is stopped";
+    static constexpr std::string_view long_lived_payload = "runs until it is stopped";
     /// Payload of jobs whose task with this index crashes its VM `crash_delay` after the task has started.
     [[nodiscard]] static std::string crash_payload(std::uint32_t index);
     static constexpr milliseconds crash_delay{10};
--- a/tests/jobs/balance_test.cpp
+++ b/tests/jobs/balance_test.cpp
@@ -156,12 +156,12 @@
     CHECK(b.count("spare") == 9);
 }
 
-TEST_CASE("a pool without demand keeps two VMs and those that host long-running tasks") {
+TEST_CASE("a pool without demand keeps two VMs and those that host long-lived tasks") {
     simulated_fleet b;
     b.add_pool("a", 10);
     b.set_need("a", 0);
     for (std::size_t i = 0; i < 5; ++i) {
-        b.demands["a"].vms[i].hosts_long_running = true;
+        b.demands["a"].vms[i].hosts_long_lived = true;
         b.demands["a"].vms[i].is_idle = false;
     }
     b.plan();
--- a/tests/jobs/cancelled_jobs_test.cpp
+++ b/tests/jobs/cancelled_jobs_test.cpp
@@ -9,21 +9,21 @@
 struct cancelled_job_case {
     const char* name = "";
     bool gang = false;
-    bool long_running = false;
+    bool long_lived = false;
     bool has_occurrences = false; ///< Two occurrences, both due.
 };
 
 constexpr cancelled_job_case cancelled_job_cases[] = {
-    {"tasks that are not long-running", false, false, false},
+    {"tasks that are not long-lived", false, false, false},
     {"a gang", true, false, false},
-    {"long-running tasks", false, true, false},
+    {"long-lived tasks", false, true, false},
     {"occurrences", false, false, true},
 };
 
 job_record cancelled_record(const scheduler_fixture& b, const cancelled_job_case& shape) {
     step_spec step = scheduler_fixture::step(3);
     step.gang = shape.gang;
-    step.long_running = shape.long_running;
+    step.long_lived = shape.long_lived;
     job_record record = scheduler_fixture::record("j", {step});
     if (shape.has_occurrences) {
         record.spec.occurrences = 2;
--- a/tests/jobs/crash_simulation.hpp
+++ b/tests/jobs/crash_simulation.hpp
@@ -91,7 +91,7 @@
         for (const auto& [id, record] : m_records) {
             const job_phase phase = m_owner->phase_of(id).value_or(job_phase::cancelled);
             const bool faulty = m_faulty.contains(id);
-            const bool running = record.spec.is_long_running() && phase == job_phase::running;
+            const bool running = record.spec.is_long_lived() && phase == job_phase::running;
             all.faulty_not_failed += faulty && phase != job_phase::failed ? 1 : 0;
             all.healthy_failed += !faulty && phase == job_phase::failed ? 1 : 0;
             all.healthy_unfinished += !faulty && phase != job_phase::completed && !running ? 1 : 0;
@@ -323,8 +323,7 @@
         if (spec.steps[run.order.task.step].gang && !is_complete(run.order)) {
             return age >= gang_timeout ? std::optional(run_end::gang_incomplete) : std::nullopt;
         }
-        return spec.is_long_running() || age < m_options.run_time ? std::nullopt
-                                                                  : std::optional(run_end::done);
+        return spec.is_long_lived() || age < m_options.run_time ? std::nullopt : std::optional(run_end::done);
     }
 
     /// Whether all members of the gang are present. Members that have just ended as done count.
--- a/tests/jobs/faulty_tasks_test.cpp
+++ b/tests/jobs/faulty_tasks_test.cpp
@@ -97,7 +97,7 @@
     const milliseconds any_time = 60'000ms; // Where there is no capacity, or no owner decides for a while.
     const step_change gang = [](step_spec& step) { step.gang = true; };
     const step_change copies = [](step_spec& step) { step.speculative = true; };
-    const step_change long_running = [](step_spec& step) { step.long_running = true; };
+    const step_change long_lived = [](step_spec& step) { step.long_lived = true; };
     const auto kill = [](crash_simulation& replay) { replay.kill_owner(takeover_gap); };
     const auto silence = [](crash_simulation& replay) { replay.silence_store(3000ms); };
     const std::vector<row> rows{
@@ -109,7 +109,7 @@
         {"a full pool", {.machines = 6, .jobs_per_s = 7}, with_faulty_job(2, 4), any_time},
         {"a gang of which one is faulty", {.jobs_per_s = 2}, with_faulty_job(12, 4, gang)},
         {"a step with speculative runs", {.jobs_per_s = 2}, with_faulty_job(3, 4, copies)},
-        {"a long-running task", {.jobs_per_s = 2}, with_faulty_job(3, 4, long_running)},
+        {"a long-lived task", {.jobs_per_s = 2}, with_faulty_job(3, 4, long_lived)},
         {"a crash half a second after the start",
          {.crash_delay = 500ms, .jobs_per_s = 4},
          with_faulty_job(2, 4)},
@@ -278,7 +278,7 @@
     void add_faulty_job() {
         step_spec step = scheduler_fixture::step(static_cast<std::uint32_t>(1 + below(8)), 4000);
         step.gang = below(4) == 0;
-        step.long_running = !step.gang && below(4) == 0;
+        step.long_lived = !step.gang && below(4) == 0;
         m_replay.add_job(scheduler_fixture::record("faulty" + std::to_string(m_jobs++), {step}), 0);
     }
 
--- a/tests/jobs/job_admission_test.cpp
+++ b/tests/jobs/job_admission_test.cpp
@@ -46,9 +46,9 @@
     }
 }
 
-TEST_CASE("long-running jobs are accepted whatever the load") {
+TEST_CASE("long-lived jobs are accepted whatever the load") {
     job_record record = scheduler_fixture::record("j", {scheduler_fixture::step(2)});
-    record.spec.steps[0].long_running = true;
+    record.spec.steps[0].long_lived = true;
     CHECK(admit(record.spec, quote_queue(), 0, load(1000, 64)).accepted);
 }
 
--- a/tests/jobs/maintenance_test.cpp
+++ b/tests/jobs/maintenance_test.cpp
@@ -130,14 +130,14 @@
     }
 }
 
-TEST_CASE("machines with long-running tasks are evacuated before other busy machines") {
+TEST_CASE("machines with long-lived tasks are evacuated before other busy machines") {
     // Guards against a wave that ends late because the machine whose tasks leave one at a time under a
     // disruption budget is evacuated last.
     wave_fixture b(1);
     b.add_machine("busy", false, "v1");
     b.add_machine("also-busy", false, "v2");
     b.add_machine("host", false, "v3");
-    b.machines["host"].hosts_long_running = true;
+    b.machines["host"].hosts_long_lived = true;
     CHECK(b.step().to_evacuate.front() == "host");
 }
 
--- a/tests/jobs/pace_test.cpp
+++ b/tests/jobs/pace_test.cpp
@@ -14,10 +14,10 @@
     shared_vm_fixture() {
         b.add_vm("v1");
         step_spec first = scheduler_fixture::step(1);
-        first.long_running = true;
+        first.long_lived = true;
         first.target_tail_latency_ms = 100;
         step_spec second = scheduler_fixture::step(1, 20'000);
-        second.long_running = true;
+        second.long_lived = true;
         second.best_effort = true;
         b.add_job("s", {first});
         serving = b.start_all().at(0);
--- a/tests/jobs/scheduler_test.cpp
+++ b/tests/jobs/scheduler_test.cpp
@@ -5,9 +5,9 @@
 
 namespace {
 
-step_spec long_running_step(std::uint32_t count, std::uint32_t budget) {
+step_spec long_lived_step(std::uint32_t count, std::uint32_t budget) {
     step_spec item = scheduler_fixture::step(count);
-    item.long_running = true;
+    item.long_lived = true;
     item.disruption_budget = budget;
     return item;
 }
@@ -145,7 +145,7 @@
     b.add_vm("v1", 1);
     b.add_vm("v2", 1);
     b.add_vm("v3", 1);
-    b.add_job("j", {long_running_step(2, 1)});
+    b.add_job("j", {long_lived_step(2, 1)});
     const auto starts = b.start_all();
     REQUIRE(starts.size() == 2);
     for (const start_order& order : starts) {
@@ -243,11 +243,11 @@
     CHECK(b.pool().phase_of("j") == job_phase::cancelled);
 }
 
-TEST_CASE("a long-running task starts again however it ends") {
+TEST_CASE("a long-lived task starts again however it ends") {
     for (const run_end how : {run_end::done, run_end::failed, run_end::lease_expired, run_end::stopped}) {
         scheduler_fixture b;
         b.add_vm("v1");
-        b.add_job("j", {long_running_step(1, 1)});
+        b.add_job("j", {long_lived_step(1, 1)});
         const start_order order = b.start_all().at(0);
         b.report("v1", {}, {b.end(1, order, how)});
         CHECK(b.decide().starts.size() == 1);
@@ -319,7 +319,7 @@
     for (const char* name : {"v1", "v2", "v3", "v4"}) {
         b.add_vm(name);
     }
-    b.add_job("j", {long_running_step(4, 1)});
+    b.add_job("j", {long_lived_step(4, 1)});
     b.start_all();
     b.add_job("k", {scheduler_fixture::step(8)});
     b.start_all();
@@ -420,12 +420,12 @@
     }
 }
 
-TEST_CASE("a long-running task whose start got no answer is not stopped, since it may be running") {
-    // Guards against an exceeded disruption budget: long-running tasks start again after the loss of a rack,
+TEST_CASE("a long-lived task whose start got no answer is not stopped, since it may be running") {
+    // Guards against an exceeded disruption budget: long-lived tasks start again after the loss of a rack,
     // the answers to two starts are lost, and their runs are stopped although they are available.
     scheduler_fixture b;
     b.add_vm("v1");
-    b.add_job("j", {long_running_step(1, 1)});
+    b.add_job("j", {long_lived_step(1, 1)});
     const start_order order = b.decide().starts.at(0);
     b.advance_clock(800ms);
     b.pool().handle_start_answer(order, order_outcome::unknown, 0, b.now());
@@ -460,7 +460,7 @@
     };
     for (const polling_case& item :
          {polling_case{"nothing runs", 0, 0, false}, polling_case{"two quotes", 2, 0, false},
-          polling_case{"three quotes", 3, 0, true}, polling_case{"long-running tasks only", 0, 6, false},
+          polling_case{"three quotes", 3, 0, true}, polling_case{"long-lived tasks only", 0, 6, false},
           polling_case{"both", 3, 2, true}}) {
         INFO(item.name);
         scheduler_fixture b;
@@ -469,7 +469,7 @@
             b.add_job("quotes", {scheduler_fixture::step(item.quotes)});
         }
         if (item.sweeps > 0) {
-            b.add_job("sweeps", {long_running_step(item.sweeps, 1)});
+            b.add_job("sweeps", {long_lived_step(item.sweeps, 1)});
         }
         std::vector<running_report> reports;
         for (const start_order& order : b.start_all()) {
--- a/tests/jobs/takeover_budget_test.cpp
+++ b/tests/jobs/takeover_budget_test.cpp
@@ -7,14 +7,14 @@
 
 constexpr std::uint32_t budget = 1;
 
-/// Two long-running tasks on two VMs, as reported to a new owner.
+/// Two long-lived tasks on two VMs, as reported to a new owner.
 struct taken_over_pool {
     scheduler_fixture fixture{1};
     std::vector<start_order> runs;
 
     taken_over_pool() {
         step_spec step = scheduler_fixture::step(2);
-        step.long_running = true;
+        step.long_lived = true;
         step.disruption_budget = budget;
         fixture.pool().restore_job(scheduler_fixture::record("j", {step}), std::nullopt, fixture.now());
         for (std::uint32_t index = 0; index < 2; ++index) {
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("a new owner stops no long-running task while stops of the previous owner may still take effect") {
+TEST_CASE("a new owner stops no long-lived task while stops of the previous owner may still take effect") {
     // Guards against an exceeded disruption budget when nodes restart in turn during maintenance: stops of
     // the previous owner take up to a second, and the VMs list these runs as running at full share until
     // then. If the new owner counts them as available, it stops as many others.
--- a/tests/jobs/work_gauge_test.cpp
+++ b/tests/jobs/work_gauge_test.cpp
@@ -36,7 +36,7 @@
 }
 
 TEST_CASE("a pool whose VMs are out of memory requests machines and refuses jobs") {
-    // Guards against jobs that wait four seconds beside two hundred spare machines: if long-running tasks use
+    // Guards against jobs that wait four seconds beside two hundred spare machines: if long-lived tasks use
     // all memory of the pool's three VMs while their processors are mostly idle, the pool appears one third
     // used.
     scheduler_fixture b;
@@ -45,7 +45,7 @@
     }
     step_spec sweep = scheduler_fixture::step(12, 4000);
     sweep.need.memory_mb = 16'384;
-    sweep.long_running = true;
+    sweep.long_lived = true;
     b.add_job("sweep", {sweep});
     CHECK(b.start_all().size() == 12);
     step_spec quote = scheduler_fixture::step(8, 1000);
@@ -56,7 +56,7 @@
     CHECK_FALSE(b.pool().check_admission(first.spec).accepted);
     const pool_load load = b.pool().load();
     CHECK(load.used_millicores == 96'000);
-    CHECK(load.long_running_millicores == 96'000);
+    CHECK(load.long_lived_millicores == 96'000);
     // The capacity in use, and eight waiting tasks that count as one core each.
     CHECK(b.pool().demand(b.now()).need_millicores == 104'000);
 }
@@ -89,8 +89,8 @@
     CHECK(need < 340'000);
 }
 
-TEST_CASE("a pool requests all VMs for its long-running tasks at once") {
-    // Guards against a job of 25 long-running tasks of which half still wait after twenty seconds beside two
+TEST_CASE("a pool requests all VMs for its long-lived tasks at once") {
+    // Guards against a job of 25 long-lived tasks of which half still wait after twenty seconds beside two
     // hundred spare machines, which also blocks maintenance: at most two tasks may share a VM, and a pool of
     // two VMs requested one more at a time.
     scheduler_fixture b;
@@ -110,7 +110,7 @@
           sweep_case{"spread, one per VM", 10, 1, 100, 10}, sweep_case{"room", 24, 0, 16'384, 6}}) {
         INFO(item.what);
         step_spec step = scheduler_fixture::step(item.tasks, 100, 0);
-        step.long_running = true;
+        step.long_lived = true;
         step.max_per_vm = item.per_vm;
         step.need.memory_mb = item.memory_mb;
         const std::string id = "s" + std::to_string(number++);
@@ -128,7 +128,7 @@
     }
 }
 
-TEST_CASE("a long-running task stopped for maintenance gets an additional VM") {
+TEST_CASE("a long-lived task stopped for maintenance gets an additional VM") {
     // Guards against a task that waits 35 seconds beside two hundred spare machines: it was stopped for
     // maintenance of its VM, no two tasks of its step may share a VM, each other VM has one, and the mostly
     // idle pool requests no further VM.
@@ -137,7 +137,7 @@
         b.add_vm(vm);
     }
     step_spec step = scheduler_fixture::step(3, 100, 0);
-    step.long_running = true;
+    step.long_lived = true;
     step.max_per_vm = 1;
     step.disruption_budget = 1;
     b.add_job("sweep", {step});
--- a/tests/node/cancelled_runs_test.cpp
+++ b/tests/node/cancelled_runs_test.cpp
@@ -12,15 +12,15 @@
 /// More stops than one owner sends, so that all of them are lost.
 constexpr int many_stops = 1000;
 
-std::string body_of(int tasks, bool gang, bool long_running) {
+std::string body_of(int tasks, bool gang, bool long_lived) {
     jobs::job_spec spec;
-    spec.payload = long_running ? fakes::task_vm::long_running_payload : "s";
+    spec.payload = long_lived ? fakes::task_vm::long_lived_payload : "s";
     spec.steps.resize(1);
     spec.steps[0].count = static_cast<std::uint32_t>(tasks);
     spec.steps[0].need = {500, 64, 0};
     spec.steps[0].estimate_ms = 200;
     spec.steps[0].gang = gang;
-    spec.steps[0].long_running = long_running;
+    spec.steps[0].long_lived = long_lived;
     return platform::encode_job(spec);
 }
 
@@ -47,7 +47,7 @@
 std::vector<job_kind> job_kinds() {
     return {{"short tasks", body_of(2, false, false)},
             {"a gang", body_of(2, true, false)},
-            {"long-running tasks", body_of(2, false, true)},
+            {"long-lived tasks", body_of(2, false, true)},
             {"occurrences", body_of_occurrences()}};
 }
 
--- a/tests/node/vm_entries_test.cpp
+++ b/tests/node/vm_entries_test.cpp
@@ -18,10 +18,10 @@
 constexpr milliseconds beyond_lease = 8s;
 
 /// A job of one task that runs until it is stopped.
-std::string long_running_job_body() {
+std::string long_lived_job_body() {
     jobs::job_spec spec = one_task_record({}).spec;
-    spec.payload = fakes::task_vm::long_running_payload;
-    spec.steps[0].long_running = true;
+    spec.payload = fakes::task_vm::long_lived_payload;
+    spec.steps[0].long_lived = true;
     return platform::encode_job(spec);
 }
 
@@ -89,7 +89,7 @@
     d.serve_with_one_vm(100ms);
     const std::string good = d.vms[0]->registration("p");
     const auto entries = unusable_entries(good);
-    CHECK(d.call("n1", "POST", "/quotes/" + job_a, long_running_job_body()).code == 200);
+    CHECK(d.call("n1", "POST", "/quotes/" + job_a, long_lived_job_body()).code == 200);
     REQUIRE(d.until_started(1));
     std::size_t started = 1;
     for (const overwrite_case& item :
--- a/tests/platform/records_test.cpp
+++ b/tests/platform/records_test.cpp
@@ -280,7 +280,7 @@
     job.steps[0].estimate_ms = 700;
     job.steps[0].max_per_vm = 2;
     job.steps[1].after = {0};
-    job.steps[1].long_running = true;
+    job.steps[1].long_lived = true;
     job.steps[1].disruption_budget = 1;
     job.has_due_times = true;
     job.occurrences = 2;
--- a/tests/soak/invariant_checks_test.cpp
+++ b/tests/soak/invariant_checks_test.cpp
@@ -97,12 +97,12 @@
     jobs["open"] = {.tasks = 1, .may_run = true, .accepted = timestamp(1)};
     jobs["cancelled"] = {.tasks = 1, .accepted = timestamp(1), .cancel_sent = true};
     jobs["completed"] = {.tasks = 1, .accepted = timestamp(1), .completed = true};
-    jobs["long-running, cancellation not confirmed"] = {
-        .tasks = 1, .long_running = true, .accepted = timestamp(1), .cancel_sent = true};
-    jobs["long-running, cancelled"] = {
-        .tasks = 1, .long_running = true, .accepted = timestamp(1), .cancelled = timestamp(2)};
+    jobs["long-lived, cancellation not confirmed"] = {
+        .tasks = 1, .long_lived = true, .accepted = timestamp(1), .cancel_sent = true};
+    jobs["long-lived, cancelled"] = {
+        .tasks = 1, .long_lived = true, .accepted = timestamp(1), .cancelled = timestamp(2)};
     CHECK(unfinished_jobs(jobs) ==
-          std::vector<std::string>{"long-running, cancellation not confirmed", "open"});
+          std::vector<std::string>{"long-lived, cancellation not confirmed", "open"});
 }
 
 TEST_CASE("a process that returns to an older configuration is reported, one that uses a newer one is not") {
