--- a/control/registration_task.hpp
+++ b/control/registration_task.hpp
@@ -7,8 +7,8 @@
 
 namespace siskinpaddle {
 
-/// Keeps this entry in the fleet record, so that planned steps wait for it, and takes it out on a graceful
-/// stop.
+/// Registers this entry in the fleet record, so that planned steps wait for its confirmation, and registers
+/// it again when the registration is lost. Removes the entry on a graceful stop. Not thread-safe.
 class registration_task {
   public:
     registration_task(event_loop& loop, const entry_settings& settings, platform_client& platform,
@@ -16,20 +16,21 @@
 
     void start();
 
-    /// Takes the entry out of the record; `done` is told whether the platform holds that. Registers no more.
+    /// Removes the entry from the fleet record and never registers it again. Calls `done` with true when the
+    /// removal is confirmed by the store.
     void deregister(std::function<void(bool)> done);
 
   private:
-    void check();
-    void register_now();
-    [[nodiscard]] entry_record own_record() const;
+    void check_registration();
+    void register_entry();
+    [[nodiscard]] entry_record make_own_record() const;
 
     const entry_settings& m_settings;
     platform_client& m_platform;
     state_task& m_state;
     std::unique_ptr<timer> m_timer;
-    bool m_busy = false;
-    bool m_leaving = false;
+    bool m_registering = false;
+    bool m_deregistering = false;
     bool m_was_registered = false;
 };
 
--- a/core/settings_file.hpp
+++ b/core/settings_file.hpp
@@ -8,10 +8,10 @@
 namespace siskinpaddle {
 
 /// Exit codes of the server programs.
-enum exit_code : int { exit_good = 0, exit_failed = 1, exit_bad_settings = 2 };
+enum exit_code : int { exit_success = 0, exit_failure = 1, exit_invalid_settings = 2 };
 
-/// Reads a program's settings with `parse(value, findings)`. Writes every finding with the file's name and
-/// its place to `errors`; then there are no settings.
+/// Reads a program's settings with `parse(value, findings)`. If there are findings, writes each to `errors`
+/// with the file name and the location, and returns nothing.
 template <class Parse>
 [[nodiscard]] auto load_settings(const std::string& path, const Parse& parse, std::ostream& errors)
     -> std::optional<decltype(parse(boost::json::value(), std::declval<findings&>()))> {
@@ -23,9 +23,9 @@
             return settings;
         }
     }
-    findings placed;
-    placed.append(problems, path + ":");
-    errors << placed.to_string();
+    findings problems_in_file;
+    problems_in_file.append(problems, path + ":");
+    errors << problems_in_file.to_string();
     return std::nullopt;
 }
 
--- a/gateway/operator_reports.cpp
+++ b/gateway/operator_reports.cpp
@@ -5,7 +5,7 @@
 boost::json::array findings_json(const findings& problems) {
     boost::json::array items;
     for (const finding& item : problems.items()) {
-        items.push_back({{"place", item.place}, {"message", item.message}});
+        items.push_back({{"place", item.location}, {"message", item.message}});
     }
     return items;
 }
@@ -35,7 +35,7 @@
                              {"availability_zone", vm.availability_zone},
                              {"rack", vm.rack},
                              {"epoch", vm.epoch},
-                             {"wave", vm.wave}});
+                             {"wave", vm.completed_wave}});
         }
     }
     return items;
@@ -63,17 +63,17 @@
     boost::json::array items;
     for (const auto& [name, wave] : config.waves) {
         std::int64_t done = 0;
-        std::int64_t out = 0;
-        std::int64_t left = 0;
+        std::int64_t in_progress = 0;
+        std::int64_t pending = 0;
         const auto order = static_cast<std::uint64_t>(wave.order);
         for (const vm_record& vm : fleet.vms) {
             if (wave.pool != "*" && vm.pool != wave.pool) {
                 continue;
             }
-            const bool under_way = vm.goal_wave == order;
-            out += under_way ? 1 : 0;
-            done += vm.wave >= order ? 1 : 0;
-            left += vm.wave < order && !under_way ? 1 : 0;
+            const bool is_in_progress = vm.active_wave == order;
+            in_progress += is_in_progress ? 1 : 0;
+            done += vm.completed_wave >= order ? 1 : 0;
+            pending += vm.completed_wave < order && !is_in_progress ? 1 : 0;
         }
         boost::json::array reasons;
         for (const plan_wait& wait : waits) {
@@ -85,8 +85,8 @@
                          {"pool", wave.pool},
                          {"order", wave.order},
                          {"done", done},
-                         {"out", out},
-                         {"left", left},
+                         {"out", in_progress},
+                         {"left", pending},
                          {"paused", wave.paused},
                          {"waits", std::move(reasons)}});
     }
@@ -96,7 +96,7 @@
 boost::json::object status_json(const entry_settings& settings, state_task& state,
                                 const planner_summary& summary, bool platform_reachable) {
     boost::json::array entries;
-    const std::set<std::string> silent = state.silent();
+    const std::set<std::string> silent = state.find_silent_entries();
     const auto& reports = state.reports();
     for (const entry_record& entry : state.fleet().entries) {
         const auto found = reports.find(entry.id);
@@ -114,7 +114,7 @@
     }
     return {{"entry", settings.id},
             {"planner", state.fleet().planner},
-            {"in_control", summary.in_control},
+            {"in_control", summary.holds_control_lease},
             {"platform_reachable", platform_reachable},
             {"config", state.config().number},
             {"fleet", state.fleet().revision},
--- a/jobs/clear_list.hpp
+++ b/jobs/evacuation_list.hpp
@@ -6,14 +6,14 @@
 
 namespace siskinpaddle::jobs {
 
-/// VMs that their pools' owners are to keep empty, so that their machines can be ordered away. Not
+/// VMs that their pools' owners keep empty so that their machines can be moved or maintained. Not
 /// thread-safe.
 ///
-/// A machine that is off runs no VM, and there is nothing to keep empty. Taken in under its empty name it
-/// would stand for every machine that is off: as long as one of them is on its way, or waits for its upkeep,
-/// none of the spare pool's other machines would count as free. Seen as machines that come at 50 a second
-/// where the platform takes 168, and not at all while a wave of upkeep goes on.
-class clear_list {
+/// A machine that is off runs no VM, so there is nothing to keep empty. If its empty VM name were added, it
+/// would match every machine that is off: while one of them is being moved or waits for maintenance, none of
+/// the spare pool's other machines would count as free. Machines would then be moved at 50 per second where
+/// the platform accepts 168, and not at all during a maintenance wave.
+class evacuation_list {
   public:
     void add(const std::string& pool, const std::string& vm) {
         if (!vm.empty()) {
@@ -26,13 +26,11 @@
         const auto found = m_vms.find(pool);
         return found != m_vms.end() && found->second.contains(vm);
     }
-    /// The VMs of one pool.
-    [[nodiscard]] std::set<std::string> of(const std::string& pool) const {
+    [[nodiscard]] std::set<std::string> vms_of_pool(const std::string& pool) const {
         const auto found = m_vms.find(pool);
         return found == m_vms.end() ? std::set<std::string>{} : found->second;
     }
-    /// The VMs of all pools.
-    [[nodiscard]] std::set<std::string> all() const {
+    [[nodiscard]] std::set<std::string> all_vms() const {
         std::set<std::string> result;
         for (const auto& [pool, vms] : m_vms) {
             result.insert(vms.begin(), vms.end());
--- a/jobs/jobs.hpp
+++ b/jobs/jobs.hpp
@@ -1,22 +1,23 @@
 #pragma once
 
-/// Public header of the jobs library: the decisions about jobs and the VMs of one pool. Pure: state, events
-/// and clock readings in, orders out; nothing here does I/O. Objects may be used from one thread at a time.
+/// Public header of the jobs library: scheduling decisions about jobs and the VMs of one pool. The library
+/// does no I/O: its inputs are state, events and clock readings, its outputs are orders. Each object may be
+/// used from one thread at a time.
 
 #include "jobs/advice.hpp"
 #include "jobs/balance.hpp"
-#include "jobs/clear_list.hpp"
+#include "jobs/evacuation_list.hpp"
 #include "jobs/fleet_configuration.hpp"
 #include "jobs/job.hpp"
+#include "jobs/job_admission.hpp"
 #include "jobs/job_state.hpp"
 #include "jobs/label_meters.hpp"
-#include "jobs/order.hpp"
+#include "jobs/maintenance.hpp"
 #include "jobs/placement.hpp"
 #include "jobs/queue_count.hpp"
 #include "jobs/scheduler.hpp"
 #include "jobs/start_window.hpp"
 #include "jobs/suspicion.hpp"
-#include "jobs/upkeep.hpp"
 #include "jobs/vm.hpp"
 #include "jobs/vm_end.hpp"
 #include "jobs/vm_record.hpp"
--- a/jobs/scheduler_vms.cpp
+++ b/jobs/scheduler_vms.cpp
@@ -6,15 +6,16 @@
 
 namespace {
 
-/// A VM answers with at most this many ends; with more waiting, its list says nothing about what is missing.
+/// Maximum number of ends in a VM's report. A full report may leave out further ends, so it doesn't show
+/// which runs are missing.
 constexpr std::size_t ends_in_full_report = 500;
-/// How long a VM that calls itself unhealthy is left alone.
+/// Time for which a VM that reports itself unhealthy gets no starts.
 constexpr milliseconds unhealthy_pause = 1s;
 
 } // namespace
 
-void scheduler::list_vm(const vm_info& info) {
-    m_gauge.saw_vm(info.capacity);
+void scheduler::add_or_update_vm(const vm_info& info) {
+    m_work_gauge.record_vm_capacity(info.capacity);
     const auto found = m_vms.find(info.incarnation);
     if (found == m_vms.end()) {
         m_vms.emplace(info.incarnation, vm_state(info));
@@ -24,7 +25,7 @@
     found->second.listed = true;
 }
 
-void scheduler::delist_vm(const std::string& vm) {
+void scheduler::mark_vm_delisted(const std::string& vm) {
     const auto found = m_vms.find(vm);
     if (found != m_vms.end()) {
         found->second.listed = false;
@@ -37,76 +38,78 @@
         vm.listed = false;
         m_vms.emplace(info.incarnation, std::move(vm));
     }
-    m_unheard.insert(info.incarnation);
-    if (const auto silent = m_silent_vms.find(info.incarnation); silent != m_silent_vms.end()) {
-        silent->second = info.machine;
+    m_unconfirmed_vms.insert(info.incarnation);
+    if (const auto unresponsive = m_unresponsive_vms.find(info.incarnation);
+        unresponsive != m_unresponsive_vms.end()) {
+        unresponsive->second = info.machine;
     }
 }
 
-void scheduler::vm_gone(const std::string& vm, vm_end_cause cause, timestamp now) {
+void scheduler::handle_vm_ended(const std::string& vm, vm_end_cause cause, timestamp now) {
     const auto found = m_vms.find(vm);
-    const bool unheard = m_unheard.erase(vm) > 0;
+    const bool was_unconfirmed = m_unconfirmed_vms.erase(vm) > 0;
     if (found == m_vms.end()) {
         return;
     }
-    if (unheard && cause != vm_end_cause::ordered && !found->second.info().draining) {
-        m_ended_unheard.push_back(vm);
+    if (was_unconfirmed && cause != vm_end_cause::ordered && !found->second.info().draining) {
+        m_ended_unconfirmed_vms.push_back(vm);
     }
-    drop_runs_of(found->second, cause, now);
+    drop_all_runs(found->second, cause, now);
     m_vms.erase(found);
 }
 
-void scheduler::vm_unreachable(const std::string& vm, timestamp now) {
+void scheduler::handle_vm_unreachable(const std::string& vm, timestamp now) {
     if (const auto found = m_vms.find(vm); found != m_vms.end()) {
         found->second.reachable = false;
-        found->second.missed_answer(now);
+        found->second.record_missed_response(now);
     }
 }
 
-void scheduler::take_report(const std::string& name, const vm_report& report, timestamp now) {
+void scheduler::handle_report(const std::string& name, const vm_report& report, timestamp now) {
     const auto found = m_vms.find(name);
     if (found == m_vms.end()) {
         return;
     }
     vm_state& vm = found->second;
-    if (!vm.ever_heard()) {
-        // An earlier owner may have granted a whole lease just before: without this, runs that are adopted
-        // here look lapsed until our first renewal is answered, and are started a second time.
-        vm.granted(report.clock_ms + m_settings.lease.count());
+    if (!vm.has_responded()) {
+        // A previous owner may have granted a whole lease just before: without this, adopted runs would seem
+        // expired until this owner's first renewal is answered, and would be started a second time.
+        vm.record_granted_deadline(report.clock_ms + m_settings.lease.count());
     }
-    vm.heard(report.clock_ms, now);
+    vm.record_response(report.clock_ms, now);
     vm.reachable = true;
-    silent_vm_answers(name, now);
+    process_unresponsive_vm_response(name, now);
     for (const end_report& end : report.ended) {
-        if (end.sequence > vm.seen) {
-            vm.seen = end.sequence;
-            m_ends_to_store = true;
-            take_end(vm, end, now);
+        if (end.sequence > vm.last_received_end) {
+            vm.last_received_end = end.sequence;
+            m_has_ends_to_store = true;
+            process_end(vm, end, now);
         }
     }
     for (const running_report& item : report.running) {
-        if (knows_task(item.task)) {
-            take_running(vm, item, report, now);
+        if (has_task(item.task)) {
+            process_running(vm, item, report, now);
         }
     }
-    take_orphans(vm, report);
+    process_orphans(vm, report);
     if (report.ended.size() < ends_in_full_report) {
-        settle_missing(vm, report, now);
+        drop_missing_runs(vm, report, now);
     }
-    m_unheard.erase(name);
-    forget_earlier_lives(vm.info(), now);
-    machine_answers(vm.info(), now);
-    pace(vm);
+    m_unconfirmed_vms.erase(name);
+    end_superseded_incarnations(vm.info(), now);
+    confirm_superseded_vms(vm.info(), now);
+    adjust_pace(vm);
 }
 
-/// A machine holds one life of a VM at a time. A VM of the earlier owner's record was alive before this owner
-/// began, so a later life of its machine that answers this owner shows that it has ended. Answers VMs that
-/// crash while nobody can take over, such as in an outage of the store: the new owner can't reach them, they
-/// still stand in its pool, and all tasks that it had not found yet waited for the longest lease to run out.
-/// That a later life is registered isn't enough: the last heartbeat of an ended one can bring its entry back.
-void scheduler::forget_earlier_lives(const vm_info& alive, timestamp now) {
+/// A machine runs one incarnation of a VM at a time. A VM in the previous owner's record was alive before
+/// this owner started, so a later incarnation on the same machine that reports to this owner proves that the
+/// VM has ended. VMs can crash while no node can take over, such as in an outage of the store: the new owner
+/// can't reach them, they are still in its pool, and all tasks that it has not found yet would wait for the
+/// longest lease to expire. The registration of a later incarnation is no proof: the last heartbeat of an
+/// ended one can restore its entry.
+void scheduler::end_superseded_incarnations(const vm_info& alive, timestamp now) {
     std::vector<std::string> ended;
-    for (const std::string& name : m_unheard) {
+    for (const std::string& name : m_unconfirmed_vms) {
         const auto found = m_vms.find(name);
         if (found != m_vms.end() && found->second.info().machine == alive.machine &&
             name != alive.incarnation) {
@@ -114,18 +117,18 @@
         }
     }
     for (const std::string& name : ended) {
-        note("earlier-life-ended", name, nullptr, 0);
-        vm_gone(name, vm_end_cause::superseded, now);
+        add_note("earlier-life-ended", name, nullptr, 0);
+        handle_vm_ended(name, vm_end_cause::superseded, now);
     }
 }
 
-void scheduler::start_answered(const start_order& order, order_outcome outcome, std::int64_t clock_ms,
-                               timestamp now) {
+void scheduler::handle_start_answer(const start_order& order, order_outcome outcome, std::int64_t clock_ms,
+                                    timestamp now) {
     const auto job = m_jobs.find(order.task.job);
     const auto vm = m_vms.find(order.vm);
-    m_starts_on_way.settled(order.task, order.attempt);
+    m_start_window.release(order.task, order.attempt);
     if (vm != m_vms.end() && clock_ms > 0) {
-        vm->second.heard(clock_ms, now);
+        vm->second.record_response(clock_ms, now);
     }
     if (job == m_jobs.end()) {
         return;
@@ -134,7 +137,7 @@
     const auto item = std::ranges::find_if(
         task.runs, [&](const run& one) { return one.attempt == order.attempt && one.vm == order.vm; });
     if (item == task.runs.end()) {
-        return; // Its end was reported before this answer, or its VM is gone.
+        return; // The run's end was reported before this answer, or its VM is gone.
     }
     switch (outcome) {
     case order_outcome::accepted:
@@ -147,25 +150,26 @@
         return;
     case order_outcome::unknown:
         if (vm != m_vms.end()) {
-            vm->second.missed_answer(now);
+            vm->second.record_missed_response(now);
         }
         if (item->phase == run_phase::starting) {
-            item->phase = run_phase::unsettled;
-            // A stop settles it soonest. But a long-running task that is there is at work, and stopping it
-            // would take it away from its users: there a report after the start's deadline settles it.
-            if (!job->second.spec().steps[order.task.step].endless) {
+            item->phase = run_phase::unconfirmed;
+            // A stop resolves the run soonest. A long-lived task that did start is serving its users,
+            // though, and a stop would make it unavailable: its run is resolved by a report after the start's
+            // deadline.
+            if (!job->second.spec().steps[order.task.step].long_lived) {
                 stop_run(order.task, *item, now);
             }
         }
         return;
-    case order_outcome::refused_room:
+    case order_outcome::refused_capacity:
         if (vm != m_vms.end()) {
-            vm->second.full_until_clock = clock_ms;
+            vm->second.capacity_refused_at_clock = clock_ms;
         }
         break;
     case order_outcome::refused_unhealthy:
         if (vm != m_vms.end()) {
-            vm->second.set_aside(now + unhealthy_pause);
+            vm->second.quarantine(now + unhealthy_pause);
         }
         break;
     default:
@@ -176,25 +180,26 @@
     }
 }
 
-void scheduler::stop_answered(const stop_order& order, order_outcome outcome, std::int64_t clock_ms,
-                              timestamp now) {
+void scheduler::handle_stop_answer(const stop_order& order, order_outcome outcome, std::int64_t clock_ms,
+                                   timestamp now) {
     const auto job = m_jobs.find(order.task.job);
     if (job == m_jobs.end() || !job->second.contains(order.task) || outcome != order_outcome::accepted) {
         return;
     }
     for (run& item : job->second.task(order.task).runs) {
         if (item.attempt == order.attempt && item.vm == order.vm) {
-            // From here on a run that isn't there can't come any more: a newer report settles it.
+            // From now on a run that isn't there can't start any more: a newer report resolves it.
             item.stop_acked_at = now;
             item.confirmed_clock = std::max(item.confirmed_clock, clock_ms);
         }
     }
 }
 
-void scheduler::advice_answered(const advice_request& request, const advice_answer& answer, timestamp now) {
+void scheduler::handle_advice_answer(const advice_request& request, const advice_answer& answer,
+                                     timestamp now) {
     const auto found = m_advice.find({request.job, request.occurrence, request.step});
     if (found != m_advice.end()) {
-        found->second.answered(request, answer, now);
+        found->second.record_answer(request, answer, now);
     }
 }
 
@@ -204,33 +209,32 @@
     }
 }
 
-bool scheduler::is_settled(const std::string& vm) const {
+bool scheduler::is_releasable(const std::string& vm) const {
     const auto found = m_vms.find(vm);
-    return !m_unheard.contains(vm) && (found == m_vms.end() || found->second.settled());
+    return !m_unconfirmed_vms.contains(vm) && (found == m_vms.end() || found->second.is_idle());
 }
 
-std::int64_t scheduler::renewal_deadline(const std::string& vm, timestamp now) {
+std::int64_t scheduler::grant_lease_renewal(const std::string& vm, timestamp now) {
     const auto found = m_vms.find(vm);
     if (found == m_vms.end() || !found->second.reachable) {
-        // A renewal that is not answered may still arrive. Were it to carry a new deadline, the lease of a VM
-        // that is silent would never have run out for certain, and its runs would never start again
-        // elsewhere.
+        // A renewal that is not answered may still arrive. If it carried a new deadline, the lease of an
+        // unresponsive VM would never certainly expire, and its runs would never start again elsewhere.
         return 0;
     }
     if (found->second.tasks().empty() && !found->second.orphans().empty()) {
-        return 0; // All that runs there is unwanted. Where no stop arrives, its lease ends it.
+        return 0; // All runs there are unwanted. Where no stop arrives, the expiry of the lease ends them.
     }
-    const std::int64_t deadline = found->second.deadline(now, m_settings.lease);
+    const std::int64_t deadline = found->second.lease_deadline(now, m_settings.lease);
     if (deadline > 0) {
-        found->second.granted(deadline);
+        found->second.record_granted_deadline(deadline);
     }
     return deadline;
 }
 
-/// A VM with as many short tasks hears of an end within the time of a close look anyway, so that close looks
-/// cost few calls more. A look whose answer is lost is found out about as much sooner: until then no end on
-/// the VM is heard of and no room there is used again.
-bool scheduler::wants_close_look(const std::string& name) const {
+/// A VM with this many short tasks reports an end within the interval of frequent polls anyway, so that
+/// frequent polls cost few additional calls. They also detect sooner that the answer to a poll is lost: until
+/// then no end on the VM is known and no free capacity there is used again.
+bool scheduler::needs_frequent_polling(const std::string& name) const {
     const auto found = m_vms.find(name);
     if (found == m_vms.end()) {
         return false;
@@ -239,22 +243,23 @@
         return true;
     }
     bool serving = false;
-    bool leftover = false;
+    bool best_effort = false;
     std::size_t short_runs = 0;
     for (const task_id& id : found->second.tasks()) {
         const job_state& job = m_jobs.find(id.job)->second;
         const step_spec& step = job.spec().steps[id.step];
-        serving = serving || step.target_tail_ms > 0;
-        leftover = leftover || step.uses_leftover;
-        short_runs += step.endless ? 0 : 1;
+        serving = serving || step.target_tail_latency_ms > 0;
+        best_effort = best_effort || step.best_effort;
+        short_runs += step.long_lived ? 0 : 1;
         for (const run& item : job.task(id).runs) {
-            if (item.vm == name && (item.phase == run_phase::unsettled || item.phase == run_phase::stopping ||
-                                    (step.endless && item.percent < 100))) {
+            if (item.vm == name &&
+                (item.phase == run_phase::unconfirmed || item.phase == run_phase::stopping ||
+                 (step.long_lived && item.percent < 100))) {
                 return true;
             }
         }
     }
-    return (serving && leftover) || short_runs >= m_settings.busy_runs;
+    return (serving && best_effort) || short_runs >= m_settings.frequent_poll_runs;
 }
 
 } // namespace siskinpaddle::jobs
--- a/net/event_loop.cpp
+++ b/net/event_loop.cpp
@@ -18,8 +18,8 @@
 }
 
 void timer::start(milliseconds delay) {
-    const timeval when{delay.count() / 1000, (delay.count() % 1000) * 1000};
-    event_add(m_event, &when);
+    const timeval interval{delay.count() / 1000, (delay.count() % 1000) * 1000};
+    event_add(m_event, &interval);
 }
 
 void timer::cancel() {
@@ -38,12 +38,13 @@
 
 event_loop::event_loop() : m_base(event_base_new()), m_posted_event(nullptr) {
     if (m_base == nullptr) {
-        throw std::runtime_error("no event loop could be made");
+        throw std::runtime_error("failed to create the event loop");
     }
     m_posted_event = event_new(
         m_base, -1, 0,
         [](evutil_socket_t, short, void* self) { static_cast<event_loop*>(self)->run_posted(); }, this);
-    // A peer that closes while we write must show as an error at the write, not end the process.
+    // Makes a write to a connection that the peer has closed fail with an error instead of terminating the
+    // process.
     std::signal(SIGPIPE, SIG_IGN);
 }
 
@@ -78,11 +79,11 @@
     return std::make_unique<timer>(m_base, std::move(action));
 }
 
-void event_loop::on_signal(int number, std::function<void()> action) {
+void event_loop::on_signal(int signal_number, std::function<void()> action) {
     auto handler = std::make_unique<signal_handler>();
     handler->action = std::move(action);
     handler->handle = evsignal_new(
-        m_base, number,
+        m_base, signal_number,
         [](evutil_socket_t, short, void* self) { static_cast<signal_handler*>(self)->action(); },
         handler.get());
     event_add(handler->handle, nullptr);
--- a/node/membership_task.cpp
+++ b/node/membership_task.cpp
@@ -10,33 +10,36 @@
 
 namespace {
 
-/// A dead node's duties wait this long for a new owner; runs on VMs outlive it under their own leases of six
-/// seconds. Renewed three times within it, so that one renewal that is lost, found out about after
-/// `renew_timeout` and repeated, costs nothing. Longer, a pool whose owner died in a turn of demand
-/// stands without decisions, and all pools without machines.
+/// A dead node's duties have no owner for this long; runs on VMs outlive that time under their own leases of
+/// six seconds. The lease is renewed three times within its term, so that one renewal that is lost, detected
+/// after `renew_timeout` and repeated, has no effect. With a longer lease, a pool whose owner dies during a
+/// demand peak makes no decisions for longer, and no pool gets machines for longer if the fleet's owner dies.
 constexpr milliseconds lease_ttl = 2s;
 constexpr milliseconds renew_interval = 600ms;
 constexpr milliseconds retry_interval = 200ms;
-/// Above the answers of a store that is a hundred times slower than its usual four milliseconds; short, so
-/// that the end of an outage is seen soon.
+/// Above the response time of a store that is a hundred times slower than its usual four milliseconds; short,
+/// so that the end of an outage is detected soon.
 constexpr milliseconds renew_timeout = 700ms;
-/// Our clock and the store's run apart, and the answer may be late.
-constexpr milliseconds certainty_margin = 200ms;
-/// After a claim that the store refused. Short against the lease that a vacant duty has waited for.
+/// Covers drift between this node's clock and the store's, and late answers.
+constexpr milliseconds lease_safety_margin = 200ms;
+/// Pause after a claim that the store refused. Short compared with the lease that expires before a duty is
+/// vacant.
 constexpr milliseconds refused_claim_pause = 400ms;
-/// Between two looks at vacant duties.
+/// Interval between checks for vacant duties.
 constexpr milliseconds claim_interval = 100ms;
-/// After the first start nodes appear within this of each other; whoever claims earlier takes everything.
-/// Duties that had an owner before are claimed without it.
-constexpr milliseconds settle_time = 900ms;
-/// Between a node's turns to claim, so that the first choice wins without a race.
-constexpr milliseconds turn = 100ms;
-/// The last owner of a duty, if it lives, takes it up again without a takeover.
-constexpr milliseconds last_owner_advantage = 500ms;
+/// At the first start of a deployment nodes appear within this time of each other, and a node that claims
+/// earlier takes all duties. Duties that had an owner before are claimed without this delay.
+constexpr milliseconds startup_claim_delay = 900ms;
+/// Delay between the claims of successive nodes in the claim order, so that the first choice wins without a
+/// race.
+constexpr milliseconds claim_order_delay = 100ms;
+/// Extra delay of other nodes while a duty's previous owner is alive, so that the previous owner reclaims the
+/// duty without a takeover.
+constexpr milliseconds previous_owner_head_start = 500ms;
 
 constexpr milliseconds watch_wait = 5s;
 
-std::string draw_incarnation() {
+std::string generate_incarnation() {
     std::random_device source;
     return to_hex((static_cast<std::uint64_t>(source()) << 32U) ^ source());
 }
@@ -47,65 +50,65 @@
                                  platform::store_client& store, handlers on_change)
     : m_loop(loop), m_settings(settings), m_store(store),
       m_handlers(std::move(on_change)), m_self{settings.id,
-                                               draw_incarnation(),
+                                               generate_incarnation(),
                                                settings.peers.address,
                                                settings.peers.port,
                                                settings.availability_zone,
                                                settings.processor_share},
       m_watch(loop, store, control_prefix, watch_wait,
-              [this](const platform::store_item& item) { take_change(item); }),
-      m_renew_timer(loop.make_timer([this] { m_lease == 0 ? grant() : renew(); })),
-      m_claim_timer(loop.make_timer([this] { consider_claims(); })) {}
+              [this](const platform::store_item& item) { apply_change(item); }),
+      m_renew_timer(loop.make_timer([this] { m_lease == 0 ? request_lease() : renew_lease(); })),
+      m_claim_timer(loop.make_timer([this] { claim_vacant_duties(); })) {}
 
 void membership_task::start() {
     m_started_at = event_loop::now();
-    grant();
+    request_lease();
     m_watch.start([this] { m_listed = true; });
     m_claim_timer->start(claim_interval);
 }
 
-timestamp membership_task::certain_until(const std::string& duty) const {
+timestamp membership_task::confirmed_until(const std::string& duty) const {
     const auto found = m_owned.find(duty);
-    return found == m_owned.end() ? timestamp(0) : found->second.certain_until;
+    return found == m_owned.end() ? timestamp(0) : found->second.confirmed_until;
 }
 
 timestamp membership_task::act_until(const std::string& duty) const {
     const auto found = m_owned.find(duty);
-    return found == m_owned.end() ? timestamp(0) : found->second.certain_until + grace_after_lease;
+    return found == m_owned.end() ? timestamp(0) : found->second.confirmed_until + grace_after_lease;
 }
 
-void membership_task::grant() {
+void membership_task::request_lease() {
     if (m_leaving) {
         return;
     }
     const timestamp asked_at = event_loop::now();
-    m_store.grant_lease(lease_ttl,
-                        [this, asked_at, alive = m_lifetime.watch()](const platform::lease_answer& answer) {
-                            if (!alive.expired()) {
-                                granted(answer, asked_at);
-                            }
-                        });
+    m_store.grant_lease(
+        lease_ttl, [this, asked_at, alive = m_lifetime.weak_token()](const platform::lease_answer& answer) {
+            if (!alive.expired()) {
+                handle_grant_answer(answer, asked_at);
+            }
+        });
 }
 
-void membership_task::granted(const platform::lease_answer& answer, timestamp asked_at) {
+void membership_task::handle_grant_answer(const platform::lease_answer& answer, timestamp asked_at) {
     if (answer.status != platform::store_status::ok || m_leaving) {
         m_renew_timer->start(retry_interval);
         return;
     }
     if (std::exchange(m_renewal_failed, false)) {
         m_watch.refresh();
-        m_handlers.store_back();
+        m_handlers.store_recovered();
     }
     m_lease = answer.lease;
     m_renewed_at = asked_at;
-    m_lease_certain_until = asked_at + answer.ttl - certainty_margin;
+    m_lease_confirmed_until = asked_at + answer.ttl - lease_safety_margin;
     register_self();
 }
 
 void membership_task::register_self() {
     platform::store_transaction change;
     change.writes.push_back({node_prefix + m_self.id, encode_archive(m_self), m_lease});
-    m_store.commit(change, [this, alive = m_lifetime.watch()](const platform::store_answer& answer) {
+    m_store.commit(change, [this, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
         if (alive.expired() || m_leaving) {
             return;
         }
@@ -122,46 +125,47 @@
     });
 }
 
-void membership_task::renew() {
+void membership_task::renew_lease() {
     if (m_leaving) {
         return;
     }
     const timestamp asked_at = event_loop::now();
-    m_store.renew_lease(m_lease, renew_timeout,
-                        [this, asked_at, alive = m_lifetime.watch()](const platform::lease_answer& answer) {
-                            if (!alive.expired()) {
-                                renewed(answer, asked_at);
-                            }
-                        });
+    m_store.renew_lease(
+        m_lease, renew_timeout,
+        [this, asked_at, alive = m_lifetime.weak_token()](const platform::lease_answer& answer) {
+            if (!alive.expired()) {
+                handle_renew_answer(answer, asked_at);
+            }
+        });
 }
 
-void membership_task::renewed(const platform::lease_answer& answer, timestamp asked_at) {
+void membership_task::handle_renew_answer(const platform::lease_answer& answer, timestamp asked_at) {
     if (m_leaving) {
         return;
     }
     const bool good = answer.status == platform::store_status::ok;
-    const bool back = good && m_renewal_failed;
+    const bool store_recovered = good && m_renewal_failed;
     m_renewal_failed = !good;
     if (good) {
         m_renewed_at = asked_at;
-        m_lease_certain_until = asked_at + answer.ttl - certainty_margin;
+        m_lease_confirmed_until = asked_at + answer.ttl - lease_safety_margin;
         for (auto& [duty, held] : m_owned) {
-            // Claims under an earlier lease prove nothing any more: others may have claimed in between.
+            // A claim under a previous lease confirms nothing: another node may have claimed the duty since.
             if (held.lease == m_lease) {
-                held.certain_until = m_lease_certain_until;
+                held.confirmed_until = m_lease_confirmed_until;
             }
         }
         m_renew_timer->start(renew_interval);
-        if (back) {
+        if (store_recovered) {
             m_watch.refresh();
-            m_handlers.store_back();
+            m_handlers.store_recovered();
         }
         return;
     }
     if (answer.status == platform::store_status::no_lease) {
         log_event(event_id::node_lease_lost, {{"node", m_self.id}});
         m_lease = 0;
-        grant();
+        request_lease();
         return;
     }
     m_renew_timer->start(retry_interval);
@@ -176,7 +180,7 @@
     return found == m_owners.end() ? std::nullopt : std::optional(found->second.owner);
 }
 
-void membership_task::take_change(const platform::store_item& item) {
+void membership_task::apply_change(const platform::store_item& item) {
     if (item.key.starts_with(node_prefix)) {
         const std::string id = item.key.substr(node_prefix.size());
         const auto record = decode_archive<node_record>(item.value);
@@ -186,51 +190,53 @@
             m_nodes[id] = record.value();
         }
     } else if (item.key.starts_with(owner_prefix)) {
-        take_owner(item.key.substr(owner_prefix.size()), item);
-    } else if (item.key.starts_with(alive_prefix)) {
-        const std::string duty = item.key.substr(alive_prefix.size());
+        apply_owner(item.key.substr(owner_prefix.size()), item);
+    } else if (item.key.starts_with(liveness_prefix)) {
+        const std::string duty = item.key.substr(liveness_prefix.size());
         if (item.deleted) {
-            m_alive.erase(duty);
+            m_liveness_keys.erase(duty);
         } else {
-            m_alive[duty] = item;
+            m_liveness_keys[duty] = item;
         }
     }
 }
 
-void membership_task::take_owner(const std::string& duty, const platform::store_item& item) {
+void membership_task::apply_owner(const std::string& duty, const platform::store_item& item) {
     const auto record = decode_archive<owner_record>(item.value);
     if (item.deleted || !record || m_owner_revisions[duty] >= item.revision) {
         return;
     }
-    note_owner(duty, record.value());
+    record_owner(duty, record.value());
     m_owner_revisions[duty] = item.revision;
     log_event(event_id::duty_owner, {{"duty", duty},
                                      {"owner", record.value().owner.id},
                                      {"epoch", record.value().epoch},
                                      {"token", item.revision}});
     if (record.value().owner.incarnation == m_self.incarnation) {
-        gain(duty, record.value(), item.revision);
+        acquire_duty(duty, record.value(), item.revision);
     } else if (m_owned.erase(duty) > 0) {
         m_handlers.lost(duty);
     }
 }
 
-void membership_task::note_owner(const std::string& duty, const owner_record& record) {
+void membership_task::record_owner(const std::string& duty, const owner_record& record) {
     const auto known = m_owners.find(duty);
     if (known != m_owners.end()) {
-        m_last_owners[duty] = known->second.owner.id;
+        m_previous_owners[duty] = known->second.owner.id;
     }
     m_owners[duty] = record;
 }
 
-void membership_task::gain(const std::string& duty, const owner_record& record, std::int64_t revision) {
+void membership_task::acquire_duty(const std::string& duty, const owner_record& record,
+                                   std::int64_t revision) {
     const auto owned = m_owned.find(duty);
     if (owned != m_owned.end() && owned->second.item.token >= revision) {
         return;
     }
-    const auto last = m_last_owners.find(duty);
-    const bool own_before = last != m_last_owners.end() && last->second == m_self.id;
-    const holding held{{duty, record.epoch, revision, own_before}, m_lease, m_lease_certain_until};
+    const auto previous = m_previous_owners.find(duty);
+    const bool was_previous_owner = previous != m_previous_owners.end() && previous->second == m_self.id;
+    const owned_duty held{
+        {duty, record.epoch, revision, was_previous_owner}, m_lease, m_lease_confirmed_until};
     m_owned[duty] = held;
     m_handlers.gained(held.item);
 }
@@ -240,21 +246,21 @@
     if (owner != m_owners.end() && owner->second.owner.incarnation == m_self.incarnation) {
         return milliseconds(0);
     }
-    milliseconds delay = turn * static_cast<std::int64_t>(claim_position(duty));
+    milliseconds delay = claim_order_delay * static_cast<std::int64_t>(claim_position(duty));
     if (owner != m_owners.end() && owner->second.owner.id != m_self.id &&
         m_nodes.contains(owner->second.owner.id)) {
-        delay += last_owner_advantage;
+        delay += previous_owner_head_start;
     }
     return delay;
 }
 
-/// How many nodes come before this one. Who would be loaded least comes first, so that duties spread by the
-/// nodes' processors; the hash decides between equals. Duties that are vacant together are dealt out one
-/// after the other, else one node could be the first choice for several of them: all nodes that see the same
-/// come to the same deal.
+/// Returns how many nodes precede this node in the claim order of a duty. The node whose load would be lowest
+/// comes first, so that duties are distributed by the nodes' processor shares; a hash breaks ties. Duties
+/// that are vacant at the same time are assigned one after the other, else one node could be the first choice
+/// for several of them. All nodes with the same view compute the same assignment.
 std::size_t membership_task::claim_position(const std::string& duty) const {
     std::map<std::string, std::size_t> duties;
-    for (const auto& [name, alive] : m_alive) {
+    for (const auto& [name, alive] : m_liveness_keys) {
         ++duties[alive.value];
     }
     for (const std::string& vacant : m_duties) {
@@ -267,7 +273,7 @@
             return static_cast<std::size_t>(
                 std::ranges::count_if(m_nodes, [&](const auto& item) { return rank(item.second) < own; }));
         }
-        if (!m_alive.contains(vacant) && !m_nodes.empty()) {
+        if (!m_liveness_keys.contains(vacant) && !m_nodes.empty()) {
             const auto first =
                 std::ranges::min_element(m_nodes, {}, [&](const auto& item) { return rank(item.second); });
             ++duties[first->first];
@@ -276,27 +282,28 @@
     return m_nodes.size();
 }
 
-void membership_task::consider_claims() {
+void membership_task::claim_vacant_duties() {
     m_claim_timer->start(claim_interval);
     const timestamp now = event_loop::now();
-    const bool ready = m_claiming && m_listed && m_lease != 0 && m_registered_at != timestamp(0);
-    const bool settled = now - m_started_at >= settle_time;
+    const bool ready = m_claiming_enabled && m_listed && m_lease != 0 && m_registered_at != timestamp(0);
+    const bool startup_delay_passed = now - m_started_at >= startup_claim_delay;
     for (const std::string& duty : m_duties) {
-        const auto alive = m_alive.find(duty);
+        const auto alive = m_liveness_keys.find(duty);
         const auto owner = m_owners.find(duty);
-        const bool mine = owner != m_owners.end() && owner->second.owner.id == m_self.id;
-        // A key under the lease of our own earlier incarnation is a leftover: that process is gone.
-        const bool leftover = mine && alive != m_alive.end() && alive->second.lease != m_lease;
-        if (alive != m_alive.end() && !leftover) {
+        const bool owned_by_self = owner != m_owners.end() && owner->second.owner.id == m_self.id;
+        // A key under the lease of this node's previous incarnation is stale: that process has ended.
+        const bool is_stale =
+            owned_by_self && alive != m_liveness_keys.end() && alive->second.lease != m_lease;
+        if (alive != m_liveness_keys.end() && !is_stale) {
             m_vacant_since.erase(duty);
             continue;
         }
-        const bool in_time = settled || owner != m_owners.end();
-        if (!ready || !in_time) {
-            continue; // The turns count from the moment when everybody may claim.
+        const bool is_claimable = startup_delay_passed || owner != m_owners.end();
+        if (!ready || !is_claimable) {
+            continue; // Claim delays count from the moment when all nodes may claim.
         }
         const timestamp since = m_vacant_since.try_emplace(duty, now).first->second;
-        if (!m_claims.contains(duty) && now - since >= claim_delay(duty)) {
+        if (!m_pending_claims.contains(duty) && now - since >= claim_delay(duty)) {
             claim(duty);
         }
     }
@@ -309,28 +316,29 @@
         const bool same = owner->second.owner.incarnation == m_self.incarnation;
         record.epoch = owner->second.epoch + (same ? 0 : 1);
     }
-    const auto alive = m_alive.find(duty);
+    const auto alive = m_liveness_keys.find(duty);
     platform::store_transaction change;
     change.conditions.push_back({owner_prefix + duty, m_owner_revisions[duty]});
-    change.conditions.push_back({alive_prefix + duty, alive == m_alive.end() ? 0 : alive->second.revision});
+    change.conditions.push_back(
+        {liveness_prefix + duty, alive == m_liveness_keys.end() ? 0 : alive->second.revision});
     change.writes.push_back({owner_prefix + duty, encode_archive(record), 0});
-    change.writes.push_back({alive_prefix + duty, m_self.id, m_lease});
-    m_claims.insert(duty);
+    change.writes.push_back({liveness_prefix + duty, m_self.id, m_lease});
+    m_pending_claims.insert(duty);
     log_event(event_id::duty_claimed, {{"duty", duty},
                                        {"epoch", record.epoch},
                                        {"position", claim_position(duty)},
                                        {"nodes", m_nodes.size()}});
-    m_store.commit(change,
-                   [this, duty, record, alive = m_lifetime.watch()](const platform::store_answer& answer) {
-                       if (!alive.expired()) {
-                           claimed(duty, record, answer);
-                       }
-                   });
+    m_store.commit(
+        change, [this, duty, record, alive = m_lifetime.weak_token()](const platform::store_answer& answer) {
+            if (!alive.expired()) {
+                handle_claim_answer(duty, record, answer);
+            }
+        });
 }
 
-void membership_task::claimed(const std::string& duty, const owner_record& record,
-                              const platform::store_answer& answer) {
-    m_claims.erase(duty);
+void membership_task::handle_claim_answer(const std::string& duty, const owner_record& record,
+                                          const platform::store_answer& answer) {
+    m_pending_claims.erase(duty);
     m_vacant_since.erase(duty);
     if (answer.status == platform::store_status::no_lease) {
         m_lease = 0;
@@ -338,23 +346,23 @@
         return;
     }
     if (answer.status == platform::store_status::conflict) {
-        m_watch.refresh(); // What we know is old: the watch may hang on a connection that went silent.
+        m_watch.refresh(); // The local copy is outdated: the watch may hang on an unresponsive connection.
     }
     if (answer.status == platform::store_status::refused) {
-        // The store counts refused calls as well. Without the pause each vacant duty is claimed ten times a
-        // second by every node for as long as the store is busy.
+        // The store counts refused calls as well. Without the pause every node claims each vacant duty ten
+        // times a second for as long as the store is busy.
         m_vacant_since[duty] = event_loop::now() + refused_claim_pause;
     }
     if (answer.status != platform::store_status::ok) {
-        return; // If it was carried out after all, the watch tells.
+        return; // If the claim was carried out after all, the watch reports it.
     }
-    note_owner(duty, record);
+    record_owner(duty, record);
     m_owner_revisions[duty] = std::max(m_owner_revisions[duty], answer.revision);
-    gain(duty, record, answer.revision);
+    acquire_duty(duty, record, answer.revision);
 }
 
 void membership_task::stop_claiming() {
-    m_claiming = false;
+    m_claiming_enabled = false;
     platform::store_transaction change;
     change.removals.push_back(node_prefix + m_self.id);
     m_store.commit(change, [](const platform::store_answer&) {});
@@ -363,18 +371,18 @@
 void membership_task::release(const std::string& duty) {
     m_owned.erase(duty);
     platform::store_transaction change;
-    const auto alive = m_alive.find(duty);
-    if (alive == m_alive.end()) {
+    const auto alive = m_liveness_keys.find(duty);
+    if (alive == m_liveness_keys.end()) {
         return;
     }
-    change.conditions.push_back({alive_prefix + duty, alive->second.revision});
-    change.removals.push_back(alive_prefix + duty);
+    change.conditions.push_back({liveness_prefix + duty, alive->second.revision});
+    change.removals.push_back(liveness_prefix + duty);
     m_store.commit(change, [](const platform::store_answer&) {});
 }
 
 void membership_task::leave(std::function<void()> done) {
     m_leaving = true;
-    m_claiming = false;
+    m_claiming_enabled = false;
     m_owned.clear();
     m_watch.stop();
     if (m_lease == 0) {
--- a/node/peer_client.hpp
+++ b/node/peer_client.hpp
@@ -7,8 +7,8 @@
 
 namespace siskinpaddle::node {
 
-/// Calls other nodes: HTTP with cereal bodies. A connection that can't be made answers `unreachable`, one
-/// that ends without an answer `unknown`.
+/// Calls other nodes over HTTP with cereal bodies. The outcome is `unreachable` if no connection can be made,
+/// and `unknown` if a call ends without a valid answer.
 class peer_client {
   public:
     using callback = std::function<void(const peer_answer&)>;
@@ -32,7 +32,7 @@
     [[nodiscard]] bool listen(const endpoint& where) { return m_server.listen(where); }
 
   private:
-    void take(const std::shared_ptr<server_request>& request);
+    void handle_request(const std::shared_ptr<server_request>& request);
 
     handler m_handler;
     http_server m_server;
--- a/node/peer_protocol.hpp
+++ b/node/peer_protocol.hpp
@@ -8,24 +8,24 @@
 
 namespace siskinpaddle::node {
 
-/// What one node asks of another.
+/// Kind of a request from one node to another.
 enum class peer_request_kind : std::uint8_t {
-    submit,     ///< Accept a job.
-    status,     ///< Tell a job's phase.
-    cancel,     ///< Cancel a job.
-    count,      ///< Tell how many jobs of a queue have not begun.
-    fleet_look, ///< Keep these VMs empty; tell the pool's demand and its VMs.
+    submit,       ///< Accept a job.
+    status,       ///< Return a job's phase.
+    cancel,       ///< Cancel a job.
+    count,        ///< Return how many jobs of a queue have not started.
+    demand_query, ///< Keep the listed VMs empty; return the pool's demand and its VMs.
 };
 
-/// How a peer answered.
+/// Outcome of a request to a peer.
 enum class peer_outcome : std::uint8_t {
     ok,
     not_owner,
     unknown_job,
-    overloaded,  ///< Not accepted; never runs.
+    overloaded,  ///< Not accepted; the job never runs.
     unavailable, ///< Not carried out.
-    unreachable, ///< Not sent.
-    unknown      ///< It may have been carried out.
+    unreachable, ///< The request was not sent.
+    unknown      ///< The request may have been carried out.
 };
 
 struct peer_request {
@@ -33,15 +33,18 @@
     std::string pool;
     std::string job;
     std::string queue;
-    jobs::job_spec spec;          ///< With `submit`.
-    std::vector<std::string> vms; ///< With `fleet_look`: all VMs that are to be empty; others may work again.
-    std::uint64_t arriving = 0;   ///< With `fleet_look`: VMs that are on their way to the pool.
-    std::uint64_t obtainable = 0; ///< With `fleet_look`: machines that no pool wanted in the round before.
-    std::int64_t configuration = 0; ///< Version in force at the sender.
+    jobs::job_spec spec; ///< With `submit`.
+    /// With `demand_query`: all VMs to keep empty; others may get tasks.
+    std::vector<std::string> vms_to_empty;
+    std::uint64_t arriving_vms = 0; ///< With `demand_query`: number of VMs being moved to the pool.
+    /// With `demand_query`: number of machines that no pool wanted in the last round.
+    std::uint64_t unneeded_machines = 0;
+    std::int64_t configuration_version = 0; ///< Configuration version in force at the sender.
 
     template <typename Archive>
     void serialize(Archive& archive) {
-        archive(kind, pool, job, queue, spec, vms, arriving, obtainable, configuration);
+        archive(kind, pool, job, queue, spec, vms_to_empty, arriving_vms, unneeded_machines,
+                configuration_version);
     }
 };
 
@@ -49,19 +52,21 @@
     std::uint8_t outcome = static_cast<std::uint8_t>(peer_outcome::unknown);
     std::uint8_t phase = 0;
     std::uint64_t count = 0;
-    std::int64_t age_ms = 0; ///< With `count` and `overloaded`: how old the owner's copy of the inbox may be.
+    /// With `count` and `overloaded`: upper limit of the age of the owner's copy of the inbox.
+    std::int64_t inbox_age_ms = 0;
     std::int64_t retry_after_ms = 0;
-    jobs::pool_demand demand;       ///< With `fleet_look`.
-    std::int64_t configuration = 0; ///< Version in force at the answering node.
-    std::int64_t store_age_ms = 0;  ///< How long ago the store last renewed the answering node's lease.
+    jobs::pool_demand demand;               ///< With `demand_query`.
+    std::int64_t configuration_version = 0; ///< Configuration version in force at the responding node.
+    std::int64_t store_age_ms = 0; ///< Time since the store last renewed the responding node's lease.
 
     template <typename Archive>
     void serialize(Archive& archive) {
-        archive(outcome, phase, count, age_ms, retry_after_ms, demand, configuration, store_age_ms);
+        archive(outcome, phase, count, inbox_age_ms, retry_after_ms, demand, configuration_version,
+                store_age_ms);
     }
 };
 
-[[nodiscard]] inline peer_answer answer_of(peer_outcome outcome) {
+[[nodiscard]] inline peer_answer make_answer(peer_outcome outcome) {
     peer_answer answer;
     answer.outcome = static_cast<std::uint8_t>(outcome);
     return answer;
--- a/node/pool_task.cpp
+++ b/node/pool_task.cpp
@@ -8,23 +8,24 @@
 
 namespace {
 
-/// How often decisions are looked at without an event: leases that ran out, stops to repeat.
+/// Interval between decisions when no event triggers one: for expired leases and for stops to repeat.
 constexpr milliseconds decide_interval = 200ms;
 constexpr milliseconds load_interval = 1s;
-/// Most runs that a log line names.
-constexpr std::size_t runs_in_line = 12;
-/// A watch is begun anew this often; a connection that went silent is found within this time.
-constexpr milliseconds inbox_wait = 1200ms;
+/// Most runs that a log line lists.
+constexpr std::size_t max_runs_per_line = 12;
+/// Interval at which a watch is restarted; an unresponsive connection is detected within it.
+constexpr milliseconds inbox_watch_interval = 1200ms;
 
-/// Long enough that runs outlive the change of their owner (a lease of two seconds, and what a renewal
-/// waits for); no longer, since the runs of a VM that went dark start elsewhere only when its lease has run
-/// out, and a successor waits for silent VMs that long and four seconds more: 10.7 s, below the 12 s within
-/// which a restarted system has to serve again. With leases of ten seconds it would be 14.8 s.
-constexpr milliseconds longest_lease = 6s;
+/// Upper limit of a VM's lease. Long enough that runs outlive a change of their owner (a lease of two
+/// seconds, plus the time that a renewal waits). Not longer, since the runs of an unresponsive VM start
+/// elsewhere only when its lease has expired, and a successor waits for unresponsive VMs that long plus four
+/// seconds: 10.7 s, below the 12 s within which a restarted system has to serve again. With leases of ten
+/// seconds it would be 14.8 s.
+constexpr milliseconds max_lease = 6s;
 
-/// What the starts that are on their way may take up of the link: answers, lease renewals and writes to the
-/// store share it, and have timeouts of 0.7 s and more.
-constexpr milliseconds starts_on_link = 125ms;
+/// Transfer time on the link that the starts in flight may use: answers, lease renewals and writes to the
+/// store share the link, and have timeouts of 0.7 s and more.
+constexpr milliseconds max_start_link_time = 125ms;
 
 std::size_t bytes_in(milliseconds time, double mbps) {
     constexpr double bytes_per_ms_of_mbps = 125;
@@ -33,48 +34,48 @@
 
 jobs::scheduler_settings scheduler_settings_for(const node_settings& settings) {
     jobs::scheduler_settings result;
-    result.lease = std::min(settings.vm_lease, longest_lease);
-    // An earlier owner acts for a while past its lease and grants whole leases until then; VM clocks are
+    result.lease = std::min(settings.vm_lease, max_lease);
+    // The previous owner acts for a while past its lease and grants full leases until then; VM clocks may run
     // slow.
-    result.unaccounted_window = membership_task::grace_after_lease +
-                                std::chrono::duration_cast<milliseconds>(result.lease * 1.03) + 500ms;
-    result.stop_time = settings.stop_time;
-    result.starts.most_bytes = bytes_in(starts_on_link, settings.link_mbps);
+    result.takeover_timeout = membership_task::grace_after_lease +
+                              std::chrono::duration_cast<milliseconds>(result.lease * 1.03) + 500ms;
+    result.max_stop_time = settings.stop_time;
+    result.starts.max_bytes_in_flight = bytes_in(max_start_link_time, settings.link_mbps);
     return result;
 }
 
 } // namespace
 
 pool_task::pool_task(context parts, std::string pool, const ownership& held)
-    : m_parts(parts), m_pool(std::move(pool)), m_held(held),
+    : m_context(parts), m_pool(std::move(pool)), m_ownership(held),
       m_scheduler(scheduler_settings_for(parts.settings), held.epoch, event_loop::now()),
       m_directory(parts.loop, parts.store,
                   [this](const std::string& vm, const std::optional<jobs::vm_info>& info) {
                       if (m_ready) {
-                          vm_changed(vm, info);
+                          on_vm_changed(vm, info);
                       }
                   }),
-      m_inbox_cancels(parts.loop, parts.store, cancel_key(m_pool, ""), inbox_wait,
-                      [this](const platform::store_item& item) { take_inbox_cancel(item); }),
-      m_inbox(parts.loop, parts.store, submit_key(m_pool, ""), inbox_wait,
-              [this](const platform::store_item& item) { take_inbox_submit(item); }),
-      m_record_timer(parts.loop.make_timer([this] { record_vms(); })),
-      m_unheard_timer(parts.loop.make_timer([this] { look_for_unheard(); })),
-      m_decide_timer(parts.loop.make_timer([this] { decide(); })),
+      m_inbox_cancels(parts.loop, parts.store, cancel_key(m_pool, ""), inbox_watch_interval,
+                      [this](const platform::store_item& item) { process_inbox_cancel(item); }),
+      m_inbox(parts.loop, parts.store, submit_key(m_pool, ""), inbox_watch_interval,
+              [this](const platform::store_item& item) { process_inbox_submit(item); }),
+      m_vm_record_timer(parts.loop.make_timer([this] { write_vm_record(); })),
+      m_unresponsive_timer(parts.loop.make_timer([this] { check_unresponsive_vms(); })),
+      m_decision_timer(parts.loop.make_timer([this] { decide(); })),
       m_submit_timer(parts.loop.make_timer([this] {
           m_writing_submits = false;
           write_submits();
       })),
-      m_inbox_timer(parts.loop.make_timer([this] { take_inbox_jobs(); })),
-      m_store_timer(parts.loop.make_timer([this] { store_round(); })),
-      m_retry(parts.loop.make_timer([this] { std::exchange(m_retry_action, {})(); })) {}
+      m_inbox_timer(parts.loop.make_timer([this] { transfer_inbox_jobs(); })),
+      m_store_timer(parts.loop.make_timer([this] { store_changes(); })),
+      m_load_retry_timer(parts.loop.make_timer([this] { std::exchange(m_load_retry_step, {})(); })) {}
 
 void pool_task::renew_token(const ownership& held) {
-    m_held = held;
-    m_lost = false;
+    m_ownership = held;
+    m_ownership_lost = false;
     m_inbox_timer->start(0ms);
     write_submits();
-    decide_soon();
+    schedule_decision();
 }
 
 void pool_task::refresh() {
@@ -90,45 +91,47 @@
     std::ranges::copy_if(configuration.queues, std::back_inserter(queues),
                          [this](const jobs::queue_settings& item) { return item.pool == m_pool; });
     m_scheduler.configure(std::move(queues));
-    const jobs::pool_settings* pool = configuration.pool(m_pool);
+    const jobs::pool_settings* pool = configuration.find_pool(m_pool);
     m_vms_check_capacity = pool == nullptr || pool->vms_check_capacity;
-    decide_soon();
+    schedule_decision();
 }
 
-// --- Deciding ---
+// --- Decisions ---
 
 bool pool_task::may_act() const {
-    return m_ready && !m_lost && event_loop::now() < m_parts.membership.act_until(m_held.duty);
+    return m_ready && !m_ownership_lost &&
+           event_loop::now() < m_context.membership.act_until(m_ownership.duty);
 }
 
-void pool_task::decide_soon() {
-    if (m_deciding) {
+void pool_task::schedule_decision() {
+    if (m_decision_scheduled) {
         return;
     }
-    m_deciding = true;
-    m_decide_timer->start(milliseconds(0));
+    m_decision_scheduled = true;
+    m_decision_timer->start(milliseconds(0));
 }
 
 void pool_task::decide() {
-    m_deciding = false;
+    m_decision_scheduled = false;
     if (!m_ready) {
         return;
     }
-    m_decide_timer->start(decide_interval);
-    const bool acting = may_act() && !m_winding_down;
-    if (acting != m_acting) {
-        m_acting = acting;
-        log_event(acting ? event_id::pool_resumed : event_id::pool_paused,
-                  {{"pool", m_pool}, {"token", m_held.token}, {"lost", static_cast<int>(m_lost)}});
+    m_decision_timer->start(decide_interval);
+    const bool acting = may_act() && !m_shutting_down;
+    if (acting != m_was_acting) {
+        m_was_acting = acting;
+        log_event(
+            acting ? event_id::pool_resumed : event_id::pool_paused,
+            {{"pool", m_pool}, {"token", m_ownership.token}, {"lost", static_cast<int>(m_ownership_lost)}});
     }
     if (!acting) {
         return;
     }
     const timestamp now = event_loop::now();
-    const bool capacity_known = now - m_directory.complete_until() <= m_parts.settings.capacity_age;
+    const bool capacity_known = now - m_directory.complete_until() <= m_context.settings.max_capacity_age;
     m_scheduler.hold_starts(!m_vms_check_capacity && !capacity_known);
-    const bool certain = now < m_parts.membership.certain_until(m_held.duty);
-    const jobs::decisions wanted = m_scheduler.decide(now, wall_clock_ms(), certain);
+    const bool ownership_confirmed = now < m_context.membership.confirmed_until(m_ownership.duty);
+    const jobs::decisions wanted = m_scheduler.decide(now, wall_clock_ms(), ownership_confirmed);
     log_decisions(wanted);
     for (const jobs::stop_order& order : wanted.stops) {
         send_stop(order);
@@ -139,14 +142,14 @@
     for (const jobs::pace_order& order : wanted.paces) {
         send_pace(order);
     }
-    for (const jobs::advice_request& question : wanted.questions) {
-        send_question(question);
+    for (const jobs::advice_request& question : wanted.advice_requests) {
+        request_advice(question);
     }
     if (m_scheduler.has_changes()) {
-        store_soon();
+        schedule_store();
     }
-    review_record();
-    forget_old();
+    review_vm_record();
+    run_cleanup();
     log_load(now);
 }
 
@@ -160,13 +163,14 @@
                                     {"vms", load.usable_vms},
                                     {"usable_cores", load.usable_millicores / 1000},
                                     {"used_cores", load.used_millicores / 1000},
-                                    {"waiting_ms", load.wait().count()},
+                                    {"waiting_ms", load.queue_wait().count()},
                                     {"jobs", m_scheduler.job_count()},
                                     {"inbox", inbox_jobs()},
                                     {"inbox_age_ms", inbox_age().count()}});
 }
 
-/// One line for each step that got tasks placed, one for each note and one for each VM that ended in use.
+/// Logs one line for each step with placed tasks, for each note, for each VM that ended while it was in use,
+/// and for each change of a suspicion level.
 void pool_task::log_decisions(const jobs::decisions& wanted) const {
     for (std::size_t i = 0; i < wanted.starts.size();) {
         const jobs::task_id& first = wanted.starts[i].task;
@@ -185,7 +189,7 @@
                                            {"occurrence", first.occurrence},
                                            {"step", first.step},
                                            {"runs", placed},
-                                           {"token", m_held.token}});
+                                           {"token", m_ownership.token}});
     }
     for (const jobs::scheduler_note& note : wanted.notes) {
         log_event(event_id::run_noted,
@@ -198,17 +202,17 @@
     for (const jobs::vm_end& end : wanted.ended_vms) {
         log_vm_end(end);
     }
-    for (const jobs::suspicion_change& change : wanted.suspicions) {
+    for (const jobs::suspicion_change& change : wanted.suspicion_changes) {
         log_suspicion(change);
     }
 }
 
 void pool_task::log_suspicion(const jobs::suspicion_change& change) const {
-    m_parts.counters.count("suspicions_" + std::string(name_of(change.level)));
+    m_context.counters.increment("suspicions_" + std::string(name_of(change.level)));
     std::string evidence;
     for (const jobs::crash_evidence& item : change.evidence) {
         evidence += (evidence.empty() ? "" : ",") + item.vm + ":" + std::string(name_of(item.kind)) + ":" +
-                    std::string(name_of(item.fate)) + "+" + std::to_string(item.age_ms);
+                    std::string(name_of(item.certainty)) + "+" + std::to_string(item.age_ms);
     }
     event_id event = event_id::task_suspected;
     if (change.level == jobs::suspicion::none) {
@@ -219,14 +223,15 @@
     log_event(event, {{"pool", m_pool},
                       {"task", platform::encode_task(change.task)},
                       {"level", name_of(change.level)},
-                      {"why", change.why},
+                      {"why", change.reason},
                       {"evidence", evidence.empty() ? std::string("-") : evidence}});
 }
 
 void pool_task::log_vm_end(const jobs::vm_end& end) const {
-    m_parts.counters.count("vm_ends_" + std::string(name_of(end.cause)));
+    m_context.counters.increment("vm_ends_" + std::string(name_of(end.cause)));
     std::string runs;
-    for (const jobs::ended_run& item : std::span(end.runs).first(std::min(end.runs.size(), runs_in_line))) {
+    for (const jobs::ended_run& item :
+         std::span(end.runs).first(std::min(end.runs.size(), max_runs_per_line))) {
         runs += (runs.empty() ? "" : ",") + platform::encode_task(item.task) + "#" +
                 std::to_string(item.attempt) + "+" + std::to_string(item.age.count()) +
                 (item.confirmed ? "" : "?");
@@ -236,14 +241,14 @@
                                    {"machine", end.machine},
                                    {"cause", name_of(end.cause)},
                                    {"draining", static_cast<int>(end.draining)},
-                                   {"silent_ms", (event_loop::now() - end.silent_from).count()},
+                                   {"silent_ms", (event_loop::now() - end.unresponsive_since).count()},
                                    {"count", end.runs.size()},
                                    {"runs", runs.empty() ? std::string("-") : runs}});
 }
 
-void pool_task::check_answer(const std::string& vm, jobs::order_outcome outcome, const char* order,
-                             const jobs::task_id& task, std::uint32_t attempt, std::int64_t token) {
-    m_parts.counters.count("orders_" + std::string(order) + "_" + std::string(name_of(outcome)));
+void pool_task::check_order_answer(const std::string& vm, jobs::order_outcome outcome, const char* order,
+                                   const jobs::task_id& task, std::uint32_t attempt, std::int64_t token) {
+    m_context.counters.increment("orders_" + std::string(order) + "_" + std::string(name_of(outcome)));
     if (outcome == jobs::order_outcome::accepted) {
         return;
     }
@@ -254,28 +259,28 @@
                                       {"attempt", attempt},
                                       {"outcome", name_of(outcome)}});
     if (outcome == jobs::order_outcome::wrong_incarnation) {
-        m_scheduler.vm_gone(vm, jobs::vm_end_cause::replaced, event_loop::now());
+        m_scheduler.handle_vm_ended(vm, jobs::vm_end_cause::replaced, event_loop::now());
     } else if (outcome == jobs::order_outcome::not_sent) {
-        m_scheduler.vm_unreachable(vm, event_loop::now());
+        m_scheduler.handle_vm_unreachable(vm, event_loop::now());
     } else if (outcome == jobs::order_outcome::refused_fenced) {
-        ownership_lost("fence", token);
+        on_ownership_lost("fence", token);
     }
 }
 
 void pool_task::send_start(const jobs::start_order& order) {
     const auto vm = m_scheduler.vms().find(order.vm);
     const jobs::job_state* job = m_scheduler.find_job(order.task.job);
-    m_parts.vms.start(
-        vm->second.info(), m_held.token, order, job->spec().payload,
-        [this, order, token = m_held.token,
-         alive = m_lifetime.watch()](const platform::order_answer& answer) {
+    m_context.vms.start_run(
+        vm->second.info(), m_ownership.token, order, job->spec().payload,
+        [this, order, token = m_ownership.token,
+         alive = m_lifetime.weak_token()](const platform::order_answer& answer) {
             if (alive.expired()) {
                 return;
             }
-            m_scheduler.start_answered(order, answer.outcome, answer.clock_ms, event_loop::now());
-            check_answer(order.vm, answer.outcome, "start", order.task, order.attempt, token);
-            if (answer.outcome != jobs::order_outcome::accepted || m_scheduler.may_start_more()) {
-                decide_soon();
+            m_scheduler.handle_start_answer(order, answer.outcome, answer.clock_ms, event_loop::now());
+            check_order_answer(order.vm, answer.outcome, "start", order.task, order.attempt, token);
+            if (answer.outcome != jobs::order_outcome::accepted || m_scheduler.can_start_more()) {
+                schedule_decision();
             }
         });
 }
@@ -285,15 +290,15 @@
     if (vm == m_scheduler.vms().end()) {
         return;
     }
-    m_parts.vms.stop(vm->second.info(), m_held.token, order,
-                     [this, order, token = m_held.token,
-                      alive = m_lifetime.watch()](const platform::order_answer& answer) {
-                         if (!alive.expired()) {
-                             m_scheduler.stop_answered(order, answer.outcome, answer.clock_ms,
-                                                       event_loop::now());
-                             check_answer(order.vm, answer.outcome, "stop", order.task, order.attempt, token);
-                         }
-                     });
+    m_context.vms.stop_run(
+        vm->second.info(), m_ownership.token, order,
+        [this, order, token = m_ownership.token,
+         alive = m_lifetime.weak_token()](const platform::order_answer& answer) {
+            if (!alive.expired()) {
+                m_scheduler.handle_stop_answer(order, answer.outcome, answer.clock_ms, event_loop::now());
+                check_order_answer(order.vm, answer.outcome, "stop", order.task, order.attempt, token);
+            }
+        });
 }
 
 void pool_task::send_pace(const jobs::pace_order& order) {
@@ -301,44 +306,46 @@
     if (vm == m_scheduler.vms().end()) {
         return;
     }
-    m_parts.vms.pace(vm->second.info(), m_held.token, order,
-                     [this, order, token = m_held.token,
-                      alive = m_lifetime.watch()](const platform::order_answer& answer) {
-                         if (!alive.expired()) {
-                             check_answer(order.vm, answer.outcome, "pace", order.task, order.attempt, token);
-                         }
-                     });
+    m_context.vms.set_pace(vm->second.info(), m_ownership.token, order,
+                           [this, order, token = m_ownership.token,
+                            alive = m_lifetime.weak_token()](const platform::order_answer& answer) {
+                               if (!alive.expired()) {
+                                   check_order_answer(order.vm, answer.outcome, "pace", order.task,
+                                                      order.attempt, token);
+                               }
+                           });
 }
 
-void pool_task::send_question(const jobs::advice_request& question) {
-    m_parts.counters.count("advice_questions");
-    m_parts.advice.ask(question,
-                       [this, question, alive = m_lifetime.watch()](const jobs::advice_answer& answer) {
-                           if (alive.expired()) {
-                               return;
-                           }
-                           log_event(event_id::advice_answered, {{"pool", m_pool},
-                                                                 {"job", question.job},
-                                                                 {"step", question.step},
-                                                                 {"asked", question.vms.size()},
-                                                                 {"approved", answer.tickets.size()},
-                                                                 {"good", static_cast<int>(answer.good)}});
-                           m_scheduler.advice_answered(question, answer, event_loop::now());
-                           decide_soon();
-                       });
+void pool_task::request_advice(const jobs::advice_request& question) {
+    m_context.counters.increment("advice_questions");
+    m_context.advice.request_advice(
+        question, [this, question, alive = m_lifetime.weak_token()](const jobs::advice_answer& answer) {
+            if (alive.expired()) {
+                return;
+            }
+            log_event(event_id::advice_answered, {{"pool", m_pool},
+                                                  {"job", question.job},
+                                                  {"step", question.step},
+                                                  {"asked", question.vms.size()},
+                                                  {"approved", answer.tickets.size()},
+                                                  {"good", static_cast<int>(answer.succeeded)}});
+            m_scheduler.handle_advice_answer(question, answer, event_loop::now());
+            schedule_decision();
+        });
 }
 
-void pool_task::ownership_lost(const char* found_by, std::int64_t token) {
-    // What was sent under an earlier token of ours fails as well; that says nothing about the present one.
-    if (!m_lost && token == m_held.token) {
-        m_lost = true;
+void pool_task::on_ownership_lost(const char* found_by, std::int64_t token) {
+    // A request that was sent under an earlier token of this node fails as well; that does not affect the
+    // current token.
+    if (!m_ownership_lost && token == m_ownership.token) {
+        m_ownership_lost = true;
         log_event(event_id::duty_lost,
-                  {{"duty", m_held.duty}, {"token", m_held.token}, {"found_by", found_by}});
+                  {{"duty", m_ownership.duty}, {"token", m_ownership.token}, {"found_by", found_by}});
     }
 }
 
 platform::store_condition pool_task::owner_condition() const {
-    return {owner_prefix + m_held.duty, m_held.token};
+    return {owner_prefix + m_ownership.duty, m_ownership.token};
 }
 
 } // namespace siskinpaddle::node
--- a/policy/patch.cpp
+++ b/policy/patch.cpp
@@ -27,7 +27,8 @@
         const auto* old_value = before.get_object().if_contains(key);
         const auto* new_value = after.get_object().if_contains(key);
         const std::string child = path + "/" + escape_pointer(key);
-        // A section that comes or goes counts as its items, for these are what members own.
+        // An added or removed section is reported as changes of its items, because members own items, not
+        // sections.
         static const boost::json::value no_items = boost::json::object();
         if (path.empty() && old_value == nullptr && new_value->is_object()) {
             old_value = &no_items;
@@ -81,7 +82,7 @@
     return service == nullptr ? "" : owner_of_pool(config, service->pool);
 }
 
-/// Owner of the named item of a section, "" where the item does not exist.
+/// Returns the member that owns the named item of a section; "" when the item doesn't exist.
 std::string owner_of(const configuration& config, const std::string& section, const std::string& name) {
     if (section == "pools") {
         return owner_of_pool(config, name);
@@ -113,13 +114,13 @@
     patch_result result{patch_verdict::conflict, current.number, {}, {}, {}};
     std::set<std::string> paths;
     for (const accepted_change& change : current.history) {
-        if (change.number > request.against) {
+        if (change.number > request.base_number) {
             paths.insert(change.paths.begin(), change.paths.end());
         }
     }
     result.changed_paths.assign(paths.begin(), paths.end());
-    result.problems.add("", "the patch is against number " + std::to_string(request.against) + "; number " +
-                                std::to_string(current.number) + " is in force");
+    result.problems.add("", "the patch is against number " + std::to_string(request.base_number) +
+                                "; number " + std::to_string(current.number) + " is in force");
     return result;
 }
 
@@ -167,13 +168,14 @@
     return target;
 }
 
-std::vector<std::string> changed_paths(const boost::json::value& before, const boost::json::value& after) {
+std::vector<std::string> find_changed_paths(const boost::json::value& before,
+                                            const boost::json::value& after) {
     std::vector<std::string> paths;
     collect_changes(before, after, "", paths);
     return paths;
 }
 
-bool may_change(const configuration& before, const configuration& after, const std::string& member,
+bool can_change(const configuration& before, const configuration& after, const std::string& member,
                 const std::string& path) {
     if (is_admin(before, member)) {
         return true;
@@ -187,7 +189,8 @@
     if (owner_before.empty() && owner_after.empty()) {
         return false;
     }
-    // A new pool or a changed promise takes VMs that rivals pay for, so only an admin grants them.
+    // A new pool, or a change of `promised`, `size` or `member`, claims VMs that other members pay for, so
+    // only an admin may grant it.
     const bool grants_capacity = tokens[0] == "pools" && (tokens.size() < 3 || tokens[2] == "promised" ||
                                                           tokens[2] == "size" || tokens[2] == "member");
     const bool own_before = owner_before.empty() || owner_before == member;
@@ -197,12 +200,12 @@
 
 patch_result apply_patch(const stored_configuration& current, const patch_request& request) {
     for (const accepted_change& change : current.history) {
-        // A repeat whose first answer was lost must neither conflict with itself nor apply twice.
+        // A retry after a lost reply must neither conflict with the first submission nor apply twice.
         if (change.write_id == request.write_id && change.member == request.member) {
             return {patch_verdict::already_accepted, change.number, {}, {}, {}};
         }
     }
-    if (request.against != current.number) {
+    if (request.base_number != current.number) {
         return conflict_result(current, request);
     }
     patch_result result{patch_verdict::invalid, current.number, {}, {}, {}};
@@ -217,9 +220,9 @@
     }
     findings ignored;
     const configuration before = parse_configuration(current.number, current.document, ignored);
-    result.changed_paths = changed_paths(current.document, document);
+    result.changed_paths = find_changed_paths(current.document, document);
     for (const std::string& path : result.changed_paths) {
-        if (!may_change(before, after, request.member, path)) {
+        if (!can_change(before, after, request.member, path)) {
             result.problems.add(path, "is not for member '" + request.member + "' to change");
         }
     }
--- a/policy/policy.hpp
+++ b/policy/policy.hpp
@@ -1,8 +1,9 @@
 #pragma once
 
-/// Public header of the policy library: every decision of siskinpaddle, as pure functions and small state
-/// machines. Time and randomness come in as arguments and nothing here does I/O, so sessions replay to the
-/// byte. No type is thread-safe; each belongs to one task.
+/// Public header of the policy library: decisions on routing, placement and maintenance, as pure functions
+/// and small state machines. Time and randomness are passed as arguments and nothing here does I/O, so
+/// recorded sessions replay byte for byte. No type is thread-safe; each instance is owned by one task object,
+/// such as `peer_task`.
 
 #include "policy/admission.hpp"
 #include "policy/answers.hpp"
@@ -10,8 +11,8 @@
 #include "policy/byte_budget.hpp"
 #include "policy/claims.hpp"
 #include "policy/configuration.hpp"
+#include "policy/entry_checks.hpp"
 #include "policy/fleet.hpp"
-#include "policy/grace.hpp"
 #include "policy/jobs.hpp"
 #include "policy/observations.hpp"
 #include "policy/patch.hpp"
@@ -21,4 +22,4 @@
 #include "policy/retry_budget.hpp"
 #include "policy/target_table.hpp"
 #include "policy/task_reports.hpp"
-#include "policy/worker_watch.hpp"
+#include "policy/worker_health_tracker.hpp"
--- /dev/null
+++ b/soak/load_generator.hpp
@@ -0,0 +1,77 @@
+#pragma once
+
+#include "soak/test_cluster.hpp"
+
+#include <random>
+
+namespace siskinpaddle::soak {
+
+/// Simulates clients of the nodes: submits jobs, queries them, cancels some, and queries the number of
+/// waiting jobs and the configuration in force. Connections are kept open and reused until they break. Not
+/// thread-safe.
+class load_generator {
+  public:
+    load_generator(event_loop& loop, test_cluster& cluster, std::uint64_t seed);
+
+    /// Starts submitting jobs periodically.
+    void start();
+    /// Stops submitting jobs. Accepted jobs are still queried, and long-lived ones are cancelled.
+    void stop_submitting() { m_submitting = false; }
+    /// Immediately submits more jobs than the VMs can start within seconds. None of them is long-lived.
+    void submit_burst();
+
+    [[nodiscard]] const std::map<std::string, job_history>& jobs() const noexcept { return m_jobs; }
+    [[nodiscard]] const std::vector<std::string>& problems() const noexcept { return m_problems; }
+    /// Number of nodes on which the newest configuration was observed.
+    [[nodiscard]] std::size_t count_up_to_date_nodes() const;
+    /// Whether no submit is in flight: each outcome is known, or all attempts for it are used up.
+    [[nodiscard]] bool all_submits_resolved() const;
+    /// Reported counts of waiting jobs, in the order in which the answers arrived.
+    [[nodiscard]] const std::vector<reported_count>& counts() const noexcept { return m_counts; }
+    /// Number of answers by status code; 0 counts calls without an answer.
+    [[nodiscard]] const std::map<int, std::size_t>& answers() const noexcept { return m_answers; }
+
+  private:
+    /// Newest configuration observed on one process of a node.
+    struct observed_configuration {
+        std::uint32_t incarnation = 0;
+        std::int64_t version = 0;
+        bool is_probing = false;
+    };
+
+    void run_iteration();
+    void submit_new_job(bool long_lived);
+    [[nodiscard]] bool is_in_burst() const;
+    void submit(const std::string& id, std::uint32_t attempt);
+    void process_submit_answer(const std::string& id, std::uint32_t attempt, const http_answer& answer);
+    void query_job(const std::string& id);
+    /// `was_shown_failed`: the job had been shown as failed before this query was sent.
+    void process_job_answer(const std::string& id, bool was_shown_failed, const http_answer& answer);
+    void cancel(const std::string& id);
+    void cancel_long_lived();
+    void query_count(std::uint32_t node);
+    void probe_configuration(std::uint32_t node);
+    void process_probe_answer(std::uint32_t node, std::int64_t version, observed_configuration previous,
+                              int code);
+    void send(std::uint32_t node, const std::string& method, const std::string& target, std::string body,
+              std::function<void(const http_answer&)> done);
+    [[nodiscard]] std::uint32_t random_node() {
+        return static_cast<std::uint32_t>(m_random() % m_cluster.nodes());
+    }
+
+    event_loop& m_loop;
+    test_cluster& m_cluster;
+    http_client m_client;
+    std::unique_ptr<timer> m_timer;
+    std::mt19937_64 m_random;
+    std::mt19937_64 m_faulty_random; ///< Separate, so that a seed's other calls don't change.
+    std::map<std::string, job_history> m_jobs;
+    std::vector<observed_configuration> m_observed_configurations;
+    std::vector<reported_count> m_counts;
+    std::map<int, std::size_t> m_answers;
+    std::vector<std::string> m_problems;
+    std::uint64_t m_iterations = 0;
+    bool m_submitting = true;
+};
+
+} // namespace siskinpaddle::soak
--- a/tests/fakes/fake_vm.hpp
+++ b/tests/fakes/fake_vm.hpp
@@ -12,7 +12,7 @@
 
 namespace siskinpaddle::fakes {
 
-/// Settings of a stand-in VM.
+/// Settings of a fake VM.
 struct fake_vm_settings {
     std::string id;
     std::string availability_zone = "a";
@@ -25,12 +25,13 @@
     milliseconds service_time{20};
     std::uint32_t cores = 32;
     std::uint32_t memory_mb = 64'000;
-    std::string log_path; ///< Lines "run ID POOL", "end ID POOL" and "cut ID POOL"; empty: none.
+    std::string log_path; ///< File for lines "run ID POOL", "end ID POOL", "cut ID POOL"; empty: no log.
     bool fail_tasks = false;
 };
 
-/// Stand-in of one VM: a target that runs requests in slots, a worker that runs tasks under leases, and the
-/// platform's hand that reboots it for a pool. Refuses requests above its slots by the documented refusal.
+/// Fake of one VM: a target that runs requests in slots, a worker that runs tasks under leases, and a poller
+/// that reboots the VM for a pool when the platform orders it. Requests beyond the number of slots get status
+/// 503 with the header Target-Refusal.
 class fake_vm {
   public:
     fake_vm(event_loop& loop, fake_vm_settings settings);
@@ -38,33 +39,33 @@
     /// Returns false when a port can't be bound.
     [[nodiscard]] bool start();
 
-    /// Answers requests by itself when set, instead of the usual work.
+    /// If set, handles requests in place of the slots.
     std::function<void(std::shared_ptr<server_request>)> on_request;
 
     [[nodiscard]] const std::map<std::string, int>& runs() const noexcept { return m_runs; }
     [[nodiscard]] const std::string& pool() const noexcept { return m_pool; }
 
   private:
-    struct work {
-        std::shared_ptr<server_request> from;
+    struct active_request {
+        std::shared_ptr<server_request> request;
         std::string id;
-        std::unique_ptr<timer> done;
+        std::unique_ptr<timer> done_timer;
     };
     struct task {
         std::uint32_t epoch = 0;
         task_state state = task_state::running;
-        timestamp ends{0};
+        timestamp ends_at{0};
         timestamp lease_until{0};
         job_size used;
     };
 
-    [[nodiscard]] bool open();
-    void receive(const std::shared_ptr<server_request>& from);
-    void receive_tasks(const std::shared_ptr<server_request>& from);
+    [[nodiscard]] bool open_servers();
+    void handle_request(const std::shared_ptr<server_request>& request);
+    void handle_task_calls(const std::shared_ptr<server_request>& request);
     [[nodiscard]] task_report apply(const task_call& call, milliseconds lease);
     void poll();
     void reboot(const std::string& operation, const std::string& pool);
-    void log(std::string_view what, const std::string& id);
+    void log(std::string_view event, const std::string& id);
 
     event_loop& m_loop;
     fake_vm_settings m_settings;
@@ -72,7 +73,7 @@
     std::uint64_t m_boot = 1;
     std::string m_done_operation;
     bool m_rebooting = false;
-    std::list<work> m_work;
+    std::list<active_request> m_active_requests;
     std::map<std::string, int> m_runs;
     std::map<std::string, task> m_tasks;
     std::unique_ptr<http_server> m_target;
--- a/tests/golden/golden_test.cpp
+++ b/tests/golden/golden_test.cpp
@@ -5,19 +5,19 @@
 #include <fstream>
 #include <sstream>
 
-using siskinpaddle::tests::play_session;
+using siskinpaddle::tests::run_session;
 
 namespace {
 
-std::string read(const std::filesystem::path& path) {
+std::string read_file(const std::filesystem::path& path) {
     std::ifstream file(path, std::ios::binary);
     std::ostringstream text;
     text << file.rdbuf();
     return text.str();
 }
 
-/// The script within a golden file: everything but the decisions.
-std::string script_of(const std::string& golden) {
+/// Returns the script in a golden file: all lines except the decisions.
+std::string extract_script(const std::string& golden) {
     std::istringstream lines(golden);
     std::string script;
     std::string line;
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("golden sessions") {
+TEST_CASE("sessions reproduce their golden files") {
     int sessions = 0;
     for (const auto& item : std::filesystem::directory_iterator(GOLDEN_FOLDER)) {
         if (item.path().extension() != ".session") {
@@ -39,14 +39,14 @@
         }
         ++sessions;
         CAPTURE(item.path().filename().string());
-        const std::string golden = read(item.path());
-        const std::string played = play_session(script_of(golden));
+        const std::string golden = read_file(item.path());
+        const std::string output = run_session(extract_script(golden));
         if (std::getenv("SISKINPADDLE_WRITE_GOLDEN") != nullptr) {
-            std::ofstream(item.path(), std::ios::binary) << played;
+            std::ofstream(item.path(), std::ios::binary) << output;
             continue;
         }
-        CHECK(played == golden);
-        CHECK(played.find("  ! ") == std::string::npos);
+        CHECK(output == golden);
+        CHECK(output.find("  ! ") == std::string::npos);
     }
     CHECK(sessions >= 8);
 }
--- a/tests/main/entry_test.cpp
+++ b/tests/main/entry_test.cpp
@@ -6,9 +6,9 @@
 using siskinpaddle::tests::deployment;
 using siskinpaddle::tests::field;
 
-TEST_CASE("a request goes through whole and comes back whole") {
+TEST_CASE("a request reaches its target unchanged, and the target's answer reaches the caller unchanged") {
     deployment d;
-    d.start_usual();
+    d.start_default();
     std::shared_ptr<server_request> seen;
     for (auto& [id, vm] : d.vms) {
         vm->on_request = [&](const std::shared_ptr<server_request>& from) {
@@ -20,8 +20,8 @@
             from->reply(418, headers, "the answer");
         };
     }
-    const http_answer answer = d.ask(d.settings("e1").callers, "PUT", "/k/a?b=c", "the body",
-                                     {{"X-Mine", "1"}, {"Deadline-Ms", "9000"}});
+    const http_answer answer = d.send_and_wait(d.settings("e1").callers, "PUT", "/k/a?b=c", "the body",
+                                               {{"X-Mine", "1"}, {"Deadline-Ms", "9000"}});
     CHECK(answer.code == 418);
     CHECK(answer.body == "the answer");
     CHECK(answer.headers.get("Content-Type") == "text/x");
@@ -36,11 +36,11 @@
     CHECK(left <= 9000);
 }
 
-TEST_CASE("own answers name their outcome, and when to come back") {
+TEST_CASE("answers of the entry itself state the outcome and whether to retry") {
     deployment d;
-    d.start_usual();
+    d.start_default();
     struct row {
-        const char* story;
+        const char* description;
         const char* target;
         std::vector<std::pair<std::string, std::string>> fields;
         int code;
@@ -49,12 +49,12 @@
     };
     const std::vector<row> rows{
         {"no route", "/nowhere", {}, 404, "no-route", false},
-        {"bad deadline", "/k", {{"Deadline-Ms", "soon"}}, 400, "bad-request", false},
-        {"bad key", "/h", {{"Idempotency-Key", std::string(300, 'x')}}, 400, "bad-request", false},
+        {"deadline is not a number", "/k", {{"Deadline-Ms", "soon"}}, 400, "bad-request", false},
+        {"key is too long", "/h", {{"Idempotency-Key", std::string(300, 'x')}}, 400, "bad-request", false},
     };
     for (const row& r : rows) {
-        CAPTURE(r.story);
-        const http_answer answer = d.ask(d.settings("e1").callers, "POST", r.target, "", r.fields);
+        CAPTURE(r.description);
+        const http_answer answer = d.send_and_wait(d.settings("e1").callers, "POST", r.target, "", r.fields);
         CHECK(answer.code == r.code);
         CHECK(field(answer, "code") == r.name);
         CHECK(answer.headers.get("Siskinpaddle-Outcome") == "not-run");
@@ -62,35 +62,35 @@
     }
 }
 
-TEST_CASE("a confirmation whose target dies is unknown, and is not sent again") {
-    // The target reads a seat confirmation and dies. Nobody can know whether it ran; sent to the next target
-    // it might sell the seat twice. A quote, which may be repeated, goes to the next one.
+TEST_CASE("a confirmation whose target fails has the outcome unknown and is not sent again") {
+    // Guards against a repeated side effect: a target that fails after reading a seat confirmation may have
+    // run it, so sending it to another target could sell the seat twice. A repeatable quote is sent again.
     deployment d;
-    d.start_usual();
+    d.start_default();
     std::map<std::string, int> seen;
     for (auto& [id, vm] : d.vms) {
         vm->on_request = [&, name = id](const std::shared_ptr<server_request>& from) {
             ++seen[from->method()];
             http_headers headers;
             headers.add("Connection", "close");
-            // No length, no chunks: the end of this answer can't be told from a broken connection.
+            // Without a length or chunks, the end of the answer looks the same as a broken connection.
             from->reply(seen[from->method()] == 1 ? 0 : 200, headers, "x");
         };
     }
     const http_answer confirmation =
-        d.ask(d.settings("e1").callers, "POST", "/h/seat", "", {{"Deadline-Ms", "5000"}});
+        d.send_and_wait(d.settings("e1").callers, "POST", "/h/seat", "", {{"Deadline-Ms", "5000"}});
     CHECK(confirmation.headers.get("Siskinpaddle-Outcome") == "unknown");
     CHECK_FALSE(confirmation.headers.has("Retry-After"));
     CHECK(seen["POST"] == 1);
     const http_answer quote =
-        d.ask(d.settings("e1").callers, "GET", "/k/fare", "", {{"Deadline-Ms", "5000"}});
+        d.send_and_wait(d.settings("e1").callers, "GET", "/k/fare", "", {{"Deadline-Ms", "5000"}});
     CHECK(quote.code == 200);
     CHECK(seen["GET"] == 2);
 }
 
-TEST_CASE("a target's refusal is not-run and moves the request on") {
+TEST_CASE("a request that a target refuses is tried on other targets and ends as not-run") {
     deployment d;
-    d.start_usual();
+    d.start_default();
     int refusals = 0;
     for (auto& [id, vm] : d.vms) {
         vm->on_request = [&](const std::shared_ptr<server_request>& from) {
@@ -100,7 +100,8 @@
             from->reply(503, headers, "");
         };
     }
-    const http_answer answer = d.ask(d.settings("e1").callers, "POST", "/k/x", "", {{"Deadline-Ms", "5000"}});
+    const http_answer answer =
+        d.send_and_wait(d.settings("e1").callers, "POST", "/k/x", "", {{"Deadline-Ms", "5000"}});
     CHECK(answer.code == 503);
     CHECK(field(answer, "code") == "target-busy");
     CHECK(answer.headers.get("Siskinpaddle-Outcome") == "not-run");
@@ -109,54 +110,55 @@
 }
 
 TEST_CASE("the same idempotency key through two entries runs once") {
-    // The caller's first entry dies right after it sent the confirmation on. The caller repeats through
-    // another entry, which knows nothing of it but what the platform holds.
+    // Guards against running a request twice: the first entry fails right after forwarding the confirmation,
+    // and the caller repeats it through another entry, which knows only the claim stored on the platform.
     deployment d;
-    d.start_usual();
+    d.start_default();
     int runs = 0;
-    std::shared_ptr<server_request> held;
+    std::shared_ptr<server_request> held_request;
     for (auto& [id, vm] : d.vms) {
         vm->on_request = [&](const std::shared_ptr<server_request>& from) {
             ++runs;
-            held = from;
+            held_request = from;
         };
     }
     d.send(d.settings("e1").callers, "POST", "/h/seat", "", {{"Idempotency-Key", "seat 7"}},
            [](const http_answer&) {});
-    REQUIRE(d.until([&] { return runs == 1; }));
+    REQUIRE(d.run_until([&] { return runs == 1; }));
     d.kill_entry("e1");
     const http_answer repeat =
-        d.ask(d.settings("e2").callers, "POST", "/h/seat", "", {{"Idempotency-Key", "seat 7"}});
+        d.send_and_wait(d.settings("e2").callers, "POST", "/h/seat", "", {{"Idempotency-Key", "seat 7"}});
     CHECK(repeat.code == 409);
     CHECK(field(repeat, "code") == "already-claimed");
     CHECK(repeat.headers.get("Siskinpaddle-Outcome") == "unknown");
     CHECK(runs == 1);
-    held.reset();
+    held_request.reset();
 }
 
-TEST_CASE("without the platform a keyed confirmation is refused at once, a quote is served") {
+TEST_CASE("without the platform, requests with an idempotency key are refused and all others are served") {
     deployment d;
-    d.start_usual();
-    d.platform.set_trouble("", fakes::trouble::down);
+    d.start_default();
+    d.platform.set_fault("", fakes::injected_fault::down);
     const http_answer keyed =
-        d.ask(d.settings("e1").callers, "POST", "/h/seat", "", {{"Idempotency-Key", "k1"}});
+        d.send_and_wait(d.settings("e1").callers, "POST", "/h/seat", "", {{"Idempotency-Key", "k1"}});
     CHECK(keyed.code == 503);
     CHECK(field(keyed, "code") == "claims-unavailable");
     CHECK(keyed.headers.get("Retry-After") == "5");
-    CHECK(d.ask(d.settings("e1").callers, "GET", "/k/fare").code == 200);
-    CHECK(d.ask(d.settings("e1").callers, "POST", "/h/seat").code ==
-          200); // Without a key: once by this entry.
-    d.platform.set_trouble("", fakes::trouble::none);
-    // The refusal was true, so the same key runs now, when the claim that may have stuck is given back.
-    REQUIRE(d.until([&] {
-        return d.ask(d.settings("e2").callers, "POST", "/h/seat", "", {{"Idempotency-Key", "k1"}}).code ==
-               200;
+    CHECK(d.send_and_wait(d.settings("e1").callers, "GET", "/k/fare").code == 200);
+    // Without a key, no claim is written.
+    CHECK(d.send_and_wait(d.settings("e1").callers, "POST", "/h/seat").code == 200);
+    d.platform.set_fault("", fakes::injected_fault::none);
+    // The outcome not-run was correct, so the same key can run once a claim that may have been stored is
+    // released.
+    REQUIRE(d.run_until([&] {
+        return d.send_and_wait(d.settings("e2").callers, "POST", "/h/seat", "", {{"Idempotency-Key", "k1"}})
+                   .code == 200;
     }));
 }
 
-TEST_CASE("a claim whose answer is lost after taking effect is settled by reading") {
+TEST_CASE("a claim that is stored but whose answer is lost is resolved by reading the store") {
     deployment d;
-    d.start_usual();
+    d.start_default();
     int runs = 0;
     for (auto& [id, vm] : d.vms) {
         vm->on_request = [&](const std::shared_ptr<server_request>& from) {
@@ -164,33 +166,35 @@
             from->reply(200, {}, "done");
         };
     }
-    d.platform.set_trouble("e1", fakes::trouble::lose_answer, 0ms, 1);
-    // The planner writes under the same name; only the claim's own write must be hit, so planning rests at
-    // e2.
-    const http_answer answer = d.ask(d.settings("e1").callers, "POST", "/h/seat", "",
-                                     {{"Idempotency-Key", "k2"}, {"Deadline-Ms", "30000"}});
+    d.platform.set_fault("e1", fakes::injected_fault::lose_answer, 0ms, 1);
+    // The fault applies to the next write of e1, which has to be that of the claim. A planner on e1 writes
+    // under the same name, so it must have nothing to write here.
+    const http_answer answer = d.send_and_wait(d.settings("e1").callers, "POST", "/h/seat", "",
+                                               {{"Idempotency-Key", "k2"}, {"Deadline-Ms", "30000"}});
     CHECK(answer.code == 200);
     CHECK(runs == 1);
 }
 
-TEST_CASE("an operator's patch is in force everywhere, an old one is refused with what changed") {
+TEST_CASE("an operator's patch takes effect on all entries; a patch against an old number is refused with "
+          "the changed paths") {
     deployment d;
-    d.start_usual();
+    d.start_default();
     const http_answer first = d.patch("e1", 1, "p1", R"({"pools":{"k":{"max_queue":7}}})");
     CHECK(first.code == 200);
     CHECK(field(first, "number") == "2");
-    REQUIRE(d.until([&] { return field(d.operate("e2", "GET", "/v1/config"), "number") == "2"; }));
+    REQUIRE(d.run_until(
+        [&] { return field(d.send_operator_request("e2", "GET", "/v1/config"), "number") == "2"; }));
     const http_answer stale = d.patch("e2", 1, "p2", R"({"pools":{"k":{"max_queue":9}}})");
     CHECK(stale.code == 409);
     CHECK(field(stale, "changed_paths") == R"(["/pools/k/max_queue"])");
-    const http_answer again = d.patch("e2", 1, "p1", R"({"pools":{"k":{"max_queue":7}}})");
-    CHECK(again.code == 200);
-    CHECK(field(again, "number") == "2");
+    const http_answer repeated = d.patch("e2", 1, "p1", R"({"pools":{"k":{"max_queue":7}}})");
+    CHECK(repeated.code == 200);
+    CHECK(field(repeated, "number") == "2");
 }
 
-TEST_CASE("two operators race: one wins, the other is told what changed") {
+TEST_CASE("of two concurrent patches one is accepted and the other gets the changed paths") {
     deployment d;
-    d.start_usual();
+    d.start_default();
     std::vector<http_answer> answers;
     const auto body = [](const std::string& id, int value) {
         return R"({"against":1,"write_id":")" + id + R"(","patch":{"pools":{"k":{"max_queue":)" +
@@ -202,60 +206,62 @@
         d.send(d.settings(id).operators, "POST", "/v1/patches", body(id, id[1]), fields,
                [&](const http_answer& answer) { answers.push_back(answer); });
     }
-    REQUIRE(d.until([&] { return answers.size() == 2; }));
-    const int winners = (answers[0].code == 200 ? 1 : 0) + (answers[1].code == 200 ? 1 : 0);
-    CHECK(winners == 1);
-    const http_answer& loser = answers[0].code == 200 ? answers[1] : answers[0];
-    CHECK(loser.code == 409);
-    CHECK(field(loser, "changed_paths") == R"(["/pools/k/max_queue"])");
+    REQUIRE(d.run_until([&] { return answers.size() == 2; }));
+    const int accepted_count = (answers[0].code == 200 ? 1 : 0) + (answers[1].code == 200 ? 1 : 0);
+    CHECK(accepted_count == 1);
+    const http_answer& rejected = answers[0].code == 200 ? answers[1] : answers[0];
+    CHECK(rejected.code == 409);
+    CHECK(field(rejected, "changed_paths") == R"(["/pools/k/max_queue"])");
 }
 
-TEST_CASE("a patch whose answer is lost has the number that it got") {
+TEST_CASE("a patch whose store answer is lost is applied once and reports its number") {
     deployment d;
-    d.start_usual();
-    d.platform.set_trouble("e2", fakes::trouble::lose_answer, 0ms, 1);
+    d.start_default();
+    d.platform.set_fault("e2", fakes::injected_fault::lose_answer, 0ms, 1);
     const http_answer answer = d.patch("e2", 1, "p1", R"({"pools":{"k":{"max_queue":7}}})");
     CHECK(answer.code == 200);
     CHECK(field(answer, "number") == "2");
-    REQUIRE(d.until([&] { return field(d.operate("e1", "GET", "/v1/config"), "number") == "2"; }));
+    REQUIRE(d.run_until(
+        [&] { return field(d.send_operator_request("e1", "GET", "/v1/config"), "number") == "2"; }));
     findings problems;
     CHECK(decode_stored_configuration(d.platform.value("config"), problems).history.size() == 1);
 }
 
-TEST_CASE("a store that comes back with an older configuration is refused") {
+TEST_CASE("entries keep the newer configuration when the store is restored with an older one") {
     deployment d;
-    d.start_usual();
+    d.start_default();
     const std::string old_copy = d.platform.value("config");
     REQUIRE(d.patch("e1", 1, "p1", R"({"pools":{"k":{"max_queue":7}}})").code == 200);
-    REQUIRE(d.until([&] { return field(d.operate("e2", "GET", "/v1/config"), "number") == "2"; }));
+    REQUIRE(d.run_until(
+        [&] { return field(d.send_operator_request("e2", "GET", "/v1/config"), "number") == "2"; }));
     d.platform.restore("config", old_copy);
-    int ticks = 0;
-    REQUIRE(d.until([&] { return ++ticks > 300; }));
+    int iterations = 0;
+    REQUIRE(d.run_until([&] { return ++iterations > 300; }));
     for (const char* id : {"e1", "e2"}) {
-        CHECK(field(d.operate(id, "GET", "/v1/config"), "number") == "2");
+        CHECK(field(d.send_operator_request(id, "GET", "/v1/config"), "number") == "2");
     }
 }
 
-TEST_CASE("nobody operates without a credential, or on a rival's pool") {
+TEST_CASE("operator requests without a credential or on another member's pool are refused") {
     deployment d;
-    d.start_usual();
-    const std::string rival = "the rival's credential";
-    CHECK(d.operate("e1", "GET", "/v1/status", "", "wrong").code == 401);
-    CHECK(d.ask(d.settings("e1").operators, "GET", "/v1/status").code == 401);
-    CHECK(d.patch("e1", 1, "p1", R"({"pools":{"k":{"max_queue":7}}})", rival).code == 403);
-    CHECK(d.patch("e1", 1, "p2", R"({"pools":{"h":{"max_queue":7}}})", rival).code == 200);
+    d.start_default();
+    const std::string rival_credential = "the rival's credential";
+    CHECK(d.send_operator_request("e1", "GET", "/v1/status", "", "wrong").code == 401);
+    CHECK(d.send_and_wait(d.settings("e1").operators, "GET", "/v1/status").code == 401);
+    CHECK(d.patch("e1", 1, "p1", R"({"pools":{"k":{"max_queue":7}}})", rival_credential).code == 403);
+    CHECK(d.patch("e1", 1, "p2", R"({"pools":{"h":{"max_queue":7}}})", rival_credential).code == 200);
     const std::string job = R"({"pool":"k","id":"j","team":"t","cpu_millicores":1,"memory_mb":1})";
-    CHECK(d.operate("e1", "POST", "/v1/jobs", job, rival).code == 403);
-    CHECK(d.operate("e1", "POST", "/v1/jobs", job).code == 200);
-    CHECK(d.operate("e1", "GET", "/v1/jobs/k/j", "", rival).code == 404);
-    CHECK(field(d.operate("e1", "GET", "/v1/jobs", "", rival), "jobs") == "[]");
+    CHECK(d.send_operator_request("e1", "POST", "/v1/jobs", job, rival_credential).code == 403);
+    CHECK(d.send_operator_request("e1", "POST", "/v1/jobs", job).code == 200);
+    CHECK(d.send_operator_request("e1", "GET", "/v1/jobs/k/j", "", rival_credential).code == 404);
+    CHECK(field(d.send_operator_request("e1", "GET", "/v1/jobs", "", rival_credential), "jobs") == "[]");
 }
 
-TEST_CASE("a bad job is refused with every finding") {
+TEST_CASE("an invalid job is refused with all its findings") {
     deployment d;
-    d.start_usual();
-    const http_answer answer =
-        d.operate("e1", "POST", "/v1/jobs", R"({"pool":"k","id":"a/b","team":"x","memory_mb":0,"colour":1})");
+    d.start_default();
+    const http_answer answer = d.send_operator_request(
+        "e1", "POST", "/v1/jobs", R"({"pool":"k","id":"a/b","team":"x","memory_mb":0,"colour":1})");
     CHECK(answer.code == 400);
     for (const char* place : {"/id", "/team", "/memory_mb", "/cpu_millicores", "/colour"}) {
         CAPTURE(place);
--- a/tests/net/raw_server.hpp
+++ b/tests/net/raw_server.hpp
@@ -11,8 +11,8 @@
 
 namespace siskinpaddle::tests {
 
-/// A target that answers each connection's first bytes with fixed ones, then closes or stays silent. It
-/// counts what it read, which is the truth on what left the client.
+/// A target that answers the first request on each connection with fixed bytes, then closes the connection or
+/// sends nothing more. Counts the requests that it reads, so that a test knows what left the client.
 class raw_server {
   public:
     raw_server(event_loop& loop, std::string answer, bool close_after)
@@ -31,49 +31,49 @@
     raw_server(const raw_server&) = delete;
     raw_server& operator=(const raw_server&) = delete;
     ~raw_server() {
-        for (bufferevent* item : m_open) {
+        for (bufferevent* item : m_connections) {
             bufferevent_free(item);
         }
         evconnlistener_free(m_listener);
     }
 
-    [[nodiscard]] endpoint where() const {
+    [[nodiscard]] endpoint local_endpoint() const {
         sockaddr_in bound{};
         socklen_t size = sizeof(bound);
         getsockname(evconnlistener_get_fd(m_listener), reinterpret_cast<sockaddr*>(&bound), &size);
         return {"127.0.0.1", ntohs(bound.sin_port)};
     }
 
-    /// Sends more on all open connections.
-    void send_more(const std::string& bytes) {
-        for (bufferevent* item : m_open) {
+    /// Sends `bytes` on all open connections.
+    void send_to_all(const std::string& bytes) {
+        for (bufferevent* item : m_connections) {
             bufferevent_write(item, bytes.data(), bytes.size());
         }
     }
 
     int requests = 0; ///< Request heads that arrived.
-    int resets = 0;   ///< Connections that the client reset ...
-    int closes = 0;   ///< ... or closed in order, so that all it ever sent still arrives.
-    /// Connections after this many are closed at the first byte without an answer; -1: never.
-    int answers_left = -1;
+    int resets = 0;   ///< Connections that the client reset.
+    int closes = 0;   ///< Connections that the client closed in order, which delivers all sent data.
+    /// After this many answers, closes each connection at its next request without an answer; -1: no limit.
+    int remaining_answers = -1;
 
   private:
     void accept(int socket) {
         bufferevent* item = bufferevent_socket_new(m_loop.base(), socket, BEV_OPT_CLOSE_ON_FREE);
-        m_open.push_back(item);
+        m_connections.push_back(item);
         bufferevent_setcb(
             item, [](bufferevent* ready, void* self) { static_cast<raw_server*>(self)->read(ready); },
             [](bufferevent* flushed, void* self) {
                 auto* server = static_cast<raw_server*>(self);
                 if (server->m_close_after && server->requests > 0) {
-                    server->drop(flushed);
+                    server->close_connection(flushed);
                 }
             },
-            [](bufferevent* ended, short what, void* self) {
+            [](bufferevent* ended, short events, void* self) {
                 auto* server = static_cast<raw_server*>(self);
-                const bool reset = (what & BEV_EVENT_ERROR) != 0 || has_error(bufferevent_getfd(ended));
+                const bool reset = (events & BEV_EVENT_ERROR) != 0 || has_error(bufferevent_getfd(ended));
                 reset ? ++server->resets : ++server->closes;
-                server->drop(ended);
+                server->close_connection(ended);
             },
             this);
         bufferevent_enable(item, EV_READ | EV_WRITE);
@@ -88,27 +88,28 @@
         }
         evbuffer_drain(input, text.size());
         ++requests;
-        if (answers_left == 0) {
-            drop(item);
+        if (remaining_answers == 0) {
+            close_connection(item);
             return;
         }
-        answers_left -= answers_left > 0 ? 1 : 0;
+        remaining_answers -= remaining_answers > 0 ? 1 : 0;
         if (m_answer.empty() && m_close_after) {
-            drop(item);
+            close_connection(item);
             return;
         }
         bufferevent_write(item, m_answer.data(), m_answer.size());
     }
 
-    /// An end in order that a reset follows reads as the former; the error stays with the socket.
+    /// A reset that follows an orderly close is reported as an orderly close; only the socket's error shows
+    /// it.
     static bool has_error(int socket) {
         int error = 0;
         socklen_t size = sizeof(error);
         return getsockopt(socket, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error != 0;
     }
 
-    void drop(bufferevent* item) {
-        std::erase(m_open, item);
+    void close_connection(bufferevent* item) {
+        std::erase(m_connections, item);
         bufferevent_free(item);
     }
 
@@ -116,7 +117,7 @@
     std::string m_answer;
     bool m_close_after;
     evconnlistener* m_listener = nullptr;
-    std::vector<bufferevent*> m_open;
+    std::vector<bufferevent*> m_connections;
 };
 
 } // namespace siskinpaddle::tests
--- a/tests/node/configuration_test.cpp
+++ b/tests/node/configuration_test.cpp
@@ -5,10 +5,10 @@
 using namespace siskinpaddle;
 using namespace siskinpaddle::tests;
 
-TEST_CASE("peers that know a newer version don't make a node read the configuration over and over") {
-    // A queue that the operator added ten seconds ago is answered with 404 by one node. Its link is slow and
-    // the configuration large; each answer of a peer named the newer version, each began another reading, and
-    // the readings that were given up for it used the link up.
+TEST_CASE("repeated reports of a newer version by peers cause a single read of the configuration") {
+    // Guards against a node that refuses a queue with 404 ten seconds after the operator added it: over a
+    // slow link, each peer's answer that named the newer version restarted the read of a large configuration,
+    // and the abandoned reads used up the link.
     start_test_log();
     event_loop loop;
     fakes::platform_store store(loop);
@@ -18,19 +18,19 @@
     platform::store_client client(loop, {"127.0.0.1", store.port()});
     node::configuration_task configuration(loop, client, [] {});
     configuration.start();
-    REQUIRE(loop_until(loop, [&] { return configuration.known(); }));
-    const std::string reading(platform::wire::range_path);
-    const std::size_t before = store.calls(reading);
+    REQUIRE(loop_until(loop, [&] { return configuration.is_loaded(); }));
+    const std::string range_path(platform::wire::range_path);
+    const std::size_t before = store.call_count(range_path);
     for (int answers_of_peers = 0; answers_of_peers < 400; ++answers_of_peers) {
-        configuration.heard_of(4);
+        configuration.record_peer_version(4);
     }
-    REQUIRE(loop_until(loop, [&] { return store.calls(reading) > before; }));
+    REQUIRE(loop_until(loop, [&] { return store.call_count(range_path) > before; }));
     store.put(key, node_deployment::configuration(4));
     CHECK(loop_until(loop, [&] { return configuration.current().version == 4; }));
-    CHECK(store.calls(reading) == before + 1);
+    CHECK(store.call_count(range_path) == before + 1);
 }
 
-TEST_CASE("a newer version that only peers know of is read, though the watch brings nothing") {
+TEST_CASE("a newer version that only peers report is read, though the watch returns nothing") {
     start_test_log();
     event_loop loop;
     fakes::platform_store store(loop);
@@ -40,9 +40,9 @@
     platform::store_client client(loop, {"127.0.0.1", store.port()});
     node::configuration_task configuration(loop, client, [] {});
     configuration.start();
-    REQUIRE(loop_until(loop, [&] { return configuration.known(); }));
+    REQUIRE(loop_until(loop, [&] { return configuration.is_loaded(); }));
     store.hold_watches(std::string(platform::operator_prefix));
     store.put(key, node_deployment::configuration(4));
-    configuration.heard_of(4);
+    configuration.record_peer_version(4);
     CHECK(loop_until(loop, [&] { return configuration.current().version == 4; }));
 }
--- a/tests/node/silent_store_test.cpp
+++ b/tests/node/silent_store_test.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/// Half of what a client waits: enough for another try.
+/// Half of a client's deadline: enough for another attempt.
 constexpr milliseconds half_deadline = 1500ms;
 
 std::string job_number(std::size_t number) {
@@ -13,12 +13,12 @@
     return std::string(16 - digits.size(), '0') + digits;
 }
 
-/// Hands jobs in at the same moment, each over a connection of its own.
-struct submits {
+/// Submits jobs at the same moment, each over its own connection.
+struct concurrent_submits {
     std::vector<std::optional<http_answer>> answers;
-    std::vector<milliseconds> took;
+    std::vector<milliseconds> durations;
 
-    submits(node_deployment& d, std::size_t count) : answers(count), took(count) {
+    concurrent_submits(node_deployment& d, std::size_t count) : answers(count), durations(count) {
         const timestamp began = event_loop::now();
         for (std::size_t i = 0; i < count; ++i) {
             http_call request;
@@ -32,7 +32,7 @@
             request.fresh_connection = true;
             d.client.send(std::move(request), [this, i, began](http_answer answer) {
                 answers[i] = std::move(answer);
-                took[i] = event_loop::now() - began;
+                durations[i] = event_loop::now() - began;
             });
         }
         REQUIRE(d.until([&] {
@@ -43,22 +43,23 @@
 
 } // namespace
 
-TEST_CASE("whoever a silent store catches is answered in time for another try") {
-    // The store falls silent in a turn's peak, for three seconds. Each client of its first moments is held
-    // for its whole deadline by the pool's owner: its job's write has no answer, or waits behind one that has
-    // none. When the store is back nobody has time for the try that would be accepted.
+TEST_CASE("clients of an unresponsive store are answered in time for another attempt") {
+    // Guards against clients that the pool's owner holds for their whole deadline while the store is
+    // unresponsive for three seconds of a demand peak: the job's write has no answer, or waits behind such a
+    // write. When the store responds again, no time is left for the attempt that would be accepted.
     node_deployment d;
     d.serve_with_one_vm(100ms);
     d.store.set_silent(true);
-    const submits caught(d, 20);
+    const concurrent_submits submitted(d, 20);
     std::vector<bool> refused;
-    for (std::size_t i = 0; i < caught.answers.size(); ++i) {
-        INFO("job ", i, ", code ", caught.answers[i]->code, " after ", caught.took[i].count(), " ms");
-        CHECK((caught.answers[i]->code == 503 || caught.answers[i]->code == 504));
-        CHECK(caught.took[i] < half_deadline);
-        refused.push_back(caught.answers[i]->code == 503);
+    for (std::size_t i = 0; i < submitted.answers.size(); ++i) {
+        INFO("job ", i, ", code ", submitted.answers[i]->code, " after ", submitted.durations[i].count(),
+             " ms");
+        CHECK((submitted.answers[i]->code == 503 || submitted.answers[i]->code == 504));
+        CHECK(submitted.durations[i] < half_deadline);
+        refused.push_back(submitted.answers[i]->code == 503);
     }
-    // One write was on its way; what never left the process is refused, and truly never runs.
+    // One write was in flight; a job that was never sent to the store is refused and never runs.
     CHECK(std::ranges::count(refused, true) >= 4);
     CHECK(std::ranges::count(refused, false) >= 1);
     d.store.set_silent(false);
@@ -69,16 +70,16 @@
             CHECK(d.call("n1", "GET", "/quotes/" + job_number(i)).code == 410);
         } else {
             CHECK(d.call("n1", "POST", "/quotes/" + job_number(i), d.job_body(1)).code == 200);
-            CHECK(d.shows("n1", job_number(i), "completed"));
+            CHECK(d.reaches_phase("n1", job_number(i), "completed"));
         }
     }
     CHECK(d.done_runs() == static_cast<std::size_t>(std::ranges::count(refused, false)));
     d.check_runs_once();
 }
 
-TEST_CASE("an entry does not wait out a silent store for a job that it leaves in the inbox") {
-    // A pool's owner dies, and its entries leave jobs for the next one in the store, which is silent: each
-    // client is held for the store's time-out.
+TEST_CASE("an entry doesn't wait for an unresponsive store's timeout when it stores a job in the inbox") {
+    // Guards against clients that are held for the store's timeout: a pool's owner dies, and entries store
+    // jobs for its successor in a store that is unresponsive.
     node_deployment d;
     d.serve_with_one_vm(100ms);
     d.start_node("n2");
@@ -92,6 +93,6 @@
     d.store.set_silent(false);
     REQUIRE(
         d.until([&] { return d.call("n2", "POST", "/quotes/" + job_number(1), d.job_body(1)).code == 200; }));
-    CHECK(d.shows("n2", job_number(1), "completed"));
+    CHECK(d.reaches_phase("n2", job_number(1), "completed"));
     CHECK(d.done_runs() == 1);
 }
--- a/tests/policy/fleet_builder.hpp
+++ b/tests/policy/fleet_builder.hpp
@@ -7,18 +7,19 @@
 
 namespace siskinpaddle::tests {
 
-/// Builds small fleets for policy tests: VMs that serve, entries that have applied everything, a fresh list.
+/// Builds small fleets for policy tests: VMs are serving, entries have applied everything, the list is
+/// recent.
 struct fleet_builder {
     configuration config;
     fleet_record fleet;
-    observations seen;
+    observations observed;
     timestamp now{1'000};
 
     fleet_builder() {
         config.number = 1;
         config.members["m"] = {std::string(64, '0'), true};
         fleet.revision = 10;
-        seen.list_known = true;
+        observed.is_list_known = true;
     }
 
     fleet_builder& pool(const std::string& name, std::int64_t promised, std::int64_t size) {
@@ -47,10 +48,10 @@
         record.memory_mb = 64'000;
         record.pool = pool;
         record.state = pool.empty() ? vm_state::free : vm_state::serving;
-        record.boot = 1;
-        record.since = 1;
+        record.boot_count = 1;
+        record.state_revision = 1;
         fleet.put_vm(record);
-        list(id, record);
+        add_to_list(id, record);
         return *this;
     }
 
@@ -60,13 +61,13 @@
         return *this;
     }
 
-    /// The entry's heartbeat arrives: it has applied the present revision.
+    /// Records a heartbeat of the entry that reports the current revision as applied.
     void report(const std::string& id) {
-        entry_report& item = seen.entries[id];
+        entry_report& item = observed.entries[id];
         item.incarnation = 7;
         item.applied_config = config.number;
         item.applied_fleet = fleet.revision;
-        item.heard = now;
+        item.received_at = now;
     }
 
     void report_all() {
@@ -75,7 +76,7 @@
         }
     }
 
-    void list(const std::string& id, const vm_record& record) {
+    void add_to_list(const std::string& id, const vm_record& record) {
         listed_vm item;
         item.id = id;
         item.availability_zone = record.availability_zone;
@@ -85,27 +86,29 @@
         item.agent_port = record.agent_port;
         item.cores = record.cores;
         item.memory_mb = record.memory_mb;
-        item.boot = record.boot;
-        seen.listed[id] = item;
+        item.boot_count = record.boot_count;
+        observed.listed_vms[id] = item;
     }
 
-    /// One planning step `later` milliseconds on, with a fresh list; takes over what it decided.
+    /// Runs one planning step `later` milliseconds after the last one, with a newly read list, and applies
+    /// the plan.
     fleet_plan step(planner& planning, milliseconds later = 1s) {
         now += later;
-        seen.list_read = now;
-        fleet_plan plan = planning.step(config, fleet, seen, now);
+        observed.list_read_at = now;
+        fleet_plan plan = planning.step(config, fleet, observed, now);
         if (plan.changed) {
             fleet = plan.next;
         }
         return plan;
     }
 
-    /// The platform carries out the reboots, all entries report, and returning VMs pass their check.
-    void settle(const fleet_plan& plan) {
+    /// Simulates the plan's completion: the platform performs the reboots, all entries report, and returning
+    /// VMs pass their health check.
+    void complete_actions(const fleet_plan& plan) {
         for (const reboot_action& action : plan.reboots) {
-            seen.listed[action.vm].boot = fleet.find_vm(action.vm)->boot + 1;
+            observed.listed_vms[action.vm].boot_count = fleet.find_vm(action.vm)->boot_count + 1;
         }
-        for (auto& [id, item] : seen.entries) {
+        for (auto& [id, item] : observed.entries) {
             item.healthy_vms.clear();
             for (const vm_record& vm : fleet.vms) {
                 if (vm.state == vm_state::returning) {
@@ -116,10 +119,10 @@
         report_all();
     }
 
-    /// Steps and settles `count` times, or until nothing changes any more.
+    /// Runs `count` planning steps and completes the actions of each.
     void run(planner& planning, int count = 60) {
         for (int i = 0; i < count; ++i) {
-            settle(step(planning));
+            complete_actions(step(planning));
         }
     }
 
